--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -28,34 +28,34 @@
 WIRE_MS, CONNECT_MS, HANDSHAKE_MS = 0.3, 250.0, 1.0  # one way; the longest wait; work of a new connection
 WORK = ((250.0, 0.68), (100.0, 0.32))  # mean work of a route in ms, its part of the reqs
 ROUTES = (
-    i.Route(i.Effect.RETRIABLE, i.Group.ALL, 0.0, 2000.0, 6000.0, 2.0, 0.0),
-    i.Route(i.Effect.NON_RETRIABLE, i.Group.ALL, 0.0, 750.0, 2000.0, 3.0, 0.2),
+    i.Route(i.RetrySafety.RETRIABLE, i.DedupScope.ALL, 0.0, 2000.0, 6000.0, 2.0, 0.0),
+    i.Route(i.RetrySafety.NON_RETRIABLE, i.DedupScope.ALL, 0.0, 750.0, 2000.0, 3.0, 0.2),
 )
 
 
-def facts(fronts: int, per_s: float, zone: int) -> i.Facts:
+def facts(fronts: int, per_s: float, zone: int) -> i.Settings:
     """``per_s``: what all tenants together are granted."""
     caps, on, back = (0.05, 0.4, 1.0), math.ceil(0.4 * fronts), math.ceil(0.08 * fronts)
-    gate, calls = i.Gate.COUNT, max(10.0, fronts / 12)
+    gate, calls = i.VoteMode.COUNT, max(10.0, fronts / 12)
     roll = i.Rollout(gate, on, back, 6000.0, 2000.0, calls, 900.0, caps, 2000.0, 1.0, False, 0, False, 0.0)
-    return i.Facts(
+    return i.Settings(
         balancers=fronts,
         zone=zone,
         routes=ROUTES,
         tenants=tuple(i.Tenant(s, s * per_s) for s in (0.4, 0.3, 0.3)),
         over_share_benefit=0.2,
         benefit_by_work=False,
-        rules=i.Rules(GRACE, COLD_MS, COLD_SHARE, FACTOR, FALL_MS, 10_000.0),
+        server_rules=i.ServerRules(GRACE, COLD_MS, COLD_SHARE, FACTOR, FALL_MS, 10_000.0),
         rollout=roll,
         list_on_request=True,
-        max_tries=6,
-        second_copies=True,
-        come_back=True,
-        max_come_back_ms=500.0,
-        weights_mean_size=True,
+        max_attempts=6,
+        hedging_allowed=True,
+        retry_after_allowed=True,
+        max_retry_after_ms=500.0,
+        weights_are_capacity=True,
         load_column=0,
-        handshake_price=0.08,
-        idle_ms=IDLE_MS,
+        handshake_cost=0.08,
+        idle_timeout_ms=IDLE_MS,
     )
 
 
@@ -69,7 +69,7 @@
     zone: int
     most_conns: int
     free: list[float]  # when each core is free, a heap
-    row: i.Row
+    row: i.ServerEntry
     held: int = 0
     out: dict[int, tuple] = field(default_factory=dict)  # tries it has; emptied by each one's end
     conns: int = 0
@@ -109,7 +109,9 @@
     weight: float
     balancer: Balancer
     idle: dict[int, list[float]] = field(default_factory=dict)  # by node: when each idle connection was freed
-    knows: dict[int, tuple[i.Status, float]] = field(default_factory=dict)  # what it was told of a node, when
+    knows: dict[int, tuple[i.ServerStatus, float]] = field(
+        default_factory=dict
+    )  # what it was told of a node, when
     trial: deque[float] = field(default_factory=deque)  # tries on the trial; emptied by age, as is ``taken``
     taken: deque[float] = field(default_factory=deque)
 
@@ -125,7 +127,7 @@
         self.nodes = []
         for n in range(machines):
             cores, speed = (3, draw(0.85, 1.1)) if n % 2 else (4, draw(0.64, 0.86))
-            row = i.Row(n, i.Status.IN_SERVICE, 1, n % zones, n // 6, n % 2, float(cores), 0.0)
+            row = i.ServerEntry(n, i.ServerStatus.IN_SERVICE, 1, n % zones, n // 6, n % 2, float(cores), 0.0)
             most = max(40, fronts // 2) if machines > 20 else 2 * fronts
             self.nodes.append(Node(n, cores, speed, n % zones, most, [0.0] * cores, row))
         mean = sum(w * part for w, part in WORK)
@@ -144,9 +146,11 @@
     def play(self, day: str, length: float = 20_000.0) -> Counter:
         self.length = length
         for f in self.fronts:
-            f.balancer.stage_news(self.news(1, i.Phase.RELEASED, 0.0), 0.0)
-            rows = [i.Row(*(getattr(n.row, name) for name in i.Row.__slots__)) for n in self.nodes]
-            f.balancer.listed(i.Listed(i.ListKind.REMEMBERED, rows), 0.0)
+            f.balancer.stage_news(self.news(1, i.RolloutPhase.RELEASED, 0.0), 0.0)
+            rows = [
+                i.ServerEntry(*(getattr(n.row, name) for name in i.ServerEntry.__slots__)) for n in self.nodes
+            ]
+            f.balancer.listed(i.ServerListUpdate(i.ListKind.REMEMBERED, rows), 0.0)
             self.at(self.chance.uniform(0, 100), self.wake, f)
         self.arrive(Weights(self.fronts))
         getattr(self, f"on_{day}")()
@@ -197,10 +201,10 @@
         self.cap = 0.068
         for n in self.nodes[: max(1, len(self.nodes) // 50)]:
             n.row.build = 2
-            n.started = n.row.started = 1.0
+            n.started = n.row.started_at = 1.0
             self.tell(n, 0.0)
         for f in self.fronts:
-            self.at(500.0, f.balancer.stage_news, self.news(2, i.Phase.ON_TRIAL, self.cap), 500.0)
+            self.at(500.0, f.balancer.stage_news, self.news(2, i.RolloutPhase.ON_TRIAL, self.cap), 500.0)
 
     # --- what happens to machines and fronts ---
 
@@ -218,17 +222,17 @@
         """It dies: what it held is reset, its connections are gone."""
         n.up, n.held, n.conns, n.life = False, 0, 0, n.life + 1
         for token, ctx in n.out.items():
-            self.at(self.now + WIRE_MS, self.over, token, *ctx, i.End.RESET)
+            self.at(self.now + WIRE_MS, self.over, token, *ctx, i.Outcome.RESET)
         for f in self.fronts:
             f.idle.pop(n.number, None)
 
     def back(self, n: Node) -> None:
         n.up, n.started, n.free = True, self.now, [self.now] * n.cores
-        n.row.started, n.row.status = self.now, i.Status.IN_SERVICE
+        n.row.started_at, n.row.status = self.now, i.ServerStatus.IN_SERVICE
         self.tell(n, 0.0)
 
     def drain(self, n: Node, late: float) -> None:
-        n.row.status = i.Status.DRAINING
+        n.row.status = i.ServerStatus.DRAINING
         self.tell(n, late)
         self.at(self.now + late + 3000, self.down, n)
         self.at(self.now + late + 4500, self.back, n)
@@ -236,26 +240,28 @@
     def tell(self, n: Node, late: float) -> None:
         for f in self.fronts:
             when = self.now + late + self.chance.uniform(*LATE_MS)
-            row = i.Row(*(getattr(n.row, name) for name in i.Row.__slots__))
+            row = i.ServerEntry(*(getattr(n.row, name) for name in i.ServerEntry.__slots__))
             self.at(when, self.told, f, row)
 
-    def told(self, f: Front, row: i.Row) -> None:
-        f.knows[row.machine] = (row.status, self.now)
-        f.balancer.listed(i.Listed(i.ListKind.CHANGES, [row]), self.now)
+    def told(self, f: Front, row: i.ServerEntry) -> None:
+        f.knows[row.server] = (row.status, self.now)
+        f.balancer.listed(i.ServerListUpdate(i.ListKind.CHANGES, [row]), self.now)
 
     def restart(self, f: Front) -> None:
         """Killed outright: what it held is gone, owed to nobody."""
         old = f.balancer
-        f.balancer = Balancer(old.facts, self.chance.getrandbits(40), self.now)
-        f.balancer.stage_news(self.news(1, i.Phase.RELEASED, 0.0), self.now)
-        rows = [i.Row(*(getattr(n.row, name) for name in i.Row.__slots__)) for n in self.nodes]
-        f.balancer.listed(i.Listed(i.ListKind.REMEMBERED, rows), self.now)
+        f.balancer = Balancer(old.settings, self.chance.getrandbits(40), self.now)
+        f.balancer.stage_news(self.news(1, i.RolloutPhase.RELEASED, 0.0), self.now)
+        rows = [
+            i.ServerEntry(*(getattr(n.row, name) for name in i.ServerEntry.__slots__)) for n in self.nodes
+        ]
+        f.balancer.listed(i.ServerListUpdate(i.ListKind.REMEMBERED, rows), self.now)
         for number, freed in f.idle.items():
             self.nodes[number].conns -= len(freed)
         f.idle = {}
 
-    def news(self, build: int, phase: i.Phase, cap: float) -> i.StageNews:
-        return i.StageNews(i.End.COMPLETED, False, build, 0, phase, cap, 0.0)
+    def news(self, build: int, phase: i.RolloutPhase, cap: float) -> i.StageUpdate:
+        return i.StageUpdate(i.Outcome.COMPLETED, False, build, 0, phase, cap, 0.0)
 
     def wake(self, f: Front) -> None:
         wakes = [a.at for a in f.balancer.wake(self.now) if isinstance(a, i.WakeAt)]
@@ -276,16 +282,18 @@
         self.counts["taken"] += 1
         self.counts["asked"] += r.benefit
         tenant = 0 if (u := self.chance.random()) < 0.4 else 1 if u < 0.7 else 2
-        rq = i.Req(self.counts["taken"], route, tenant, None, self.now + r.timeout_ms, 0.0, False)
+        rq = i.Request(self.counts["taken"], route, tenant, None, self.now + r.timeout_ms, 0.0, False)
         f.taken.append(self.now)
-        life = Life(rq.ident, f.balancer.serve(rq, self.now))
+        life = Life(rq.id, f.balancer.serve(rq, self.now))
         work = self.chance.lognormvariate(-0.2, 0.63) * WORK[route][0]
         self.step(f, f.balancer, rq, life, work, None)
 
-    def step(self, f: Front, b: Balancer, rq: i.Req, life: Life, work: float, ended: i.Ended | None):
+    def step(
+        self, f: Front, b: Balancer, rq: i.Request, life: Life, work: float, ended: i.AttemptEnded | None
+    ):
         for act in life.resume(ended, self.now):
             match act:
-                case i.Send(machine, timeout):
+                case i.SendAttempt(machine, timeout):
                     self.send(f, b, rq, life, work, self.nodes[machine], timeout)
                 case i.Shed() | i.Fail():
                     self.counts["answered"] += 1
@@ -299,17 +307,17 @@
         self.counts["tries"] += 1
         self.check(f, n)
         now = self.now
-        try_no = next(k for ident, k in reversed(b.machines[n.number].out) if ident == rq.ident)
+        try_no = next(k for ident, k in reversed(b.machines[n.number].out) if ident == rq.id)
         token, ctx = self.counts["tries"], (f, b, rq, life, work, n, try_no, now)
         n.out[token] = ctx
         idle = f.idle.get(n.number)
         if n.cut:
             # It says nothing: a new connection never comes up, a req on an old one is never answered.
-            end = i.End.TIMEOUT if idle else i.End.NOT_CONNECTED
+            end = i.Outcome.TIMEOUT if idle else i.Outcome.NOT_CONNECTED
             self.at(now + (timeout if idle else min(timeout, CONNECT_MS)), self.over, token, *ctx, end)
             return
         if not n.up or (not idle and n.conns >= n.most_conns):
-            self.at(now + WIRE_MS, self.over, token, *ctx, i.End.NOT_CONNECTED)
+            self.at(now + WIRE_MS, self.over, token, *ctx, i.Outcome.NOT_CONNECTED)
             return
         extra = 0.0
         if idle:
@@ -324,7 +332,9 @@
         self.longest = max(self.longest, n.held)
         self.at(done, self.finished, n, n.life)
         end, when = (
-            (i.End.TIMEOUT, now + timeout) if done - now > timeout else (i.End.COMPLETED, done + WIRE_MS)
+            (i.Outcome.TIMEOUT, now + timeout)
+            if done - now > timeout
+            else (i.Outcome.COMPLETED, done + WIRE_MS)
         )
         self.at(when, self.over, token, *ctx, end)
 
@@ -332,7 +342,7 @@
         if n.life == life:
             n.held -= 1
 
-    def over(self, token: int, f, b, rq, life, work, n: Node, try_no, sent, end: i.End) -> None:
+    def over(self, token: int, f, b, rq, life, work, n: Node, try_no, sent, end: i.Outcome) -> None:
         if n.out.pop(token, None) is None:
             return  # it was reset before
         if b is not f.balancer:
@@ -341,21 +351,21 @@
                 self.counts["answered"] += 1  # owed to nobody: its front was killed
                 self.counts["lost_with_front"] += 1
             return
-        if end == i.End.COMPLETED:
+        if end == i.Outcome.COMPLETED:
             f.idle.setdefault(n.number, []).append(self.now)
             self.at(self.now + 0.8 * IDLE_MS, self.expire, f, n, self.now)
-        elif end == i.End.TIMEOUT:
+        elif end == i.Outcome.TIMEOUT:
             n.conns -= 1
         self.counts[f"try_{end.name.lower()}"] += 1
-        took, done = self.now - sent, end == i.End.COMPLETED
-        ended = i.Ended(n.number, try_no, end, took, float(n.held) if done else None, done)
-        b.observe(rq.ident, ended, self.now)
+        took, done = self.now - sent, end == i.Outcome.COMPLETED
+        ended = i.AttemptEnded(n.number, try_no, end, took, float(n.held) if done else None, done)
+        b.observe(rq.id, ended, self.now)
         if not done:
             return self.step(f, b, rq, life, work, ended)
         life.end()
         r = ROUTES[rq.route]
         self.counts["answered"] += 1
-        age = self.now - (rq.ends_at - r.timeout_ms)
+        age = self.now - (rq.deadline - r.timeout_ms)
         self.counts["served"] += r.benefit if age <= r.objective_ms else r.benefit * r.late_benefit
         self.counts["late"] += age > r.objective_ms
         self.counts["unanswered_in_time"] += age > r.timeout_ms + 50
@@ -367,8 +377,8 @@
 
     def check(self, f: Front, n: Node) -> None:
         """The rules on what is sent, by what this front was told."""
-        status, when = f.knows.get(n.number, (i.Status.IN_SERVICE, 0.0))
-        self.counts["broken_drain"] += status != i.Status.IN_SERVICE and self.now - when > GRACE
+        status, when = f.knows.get(n.number, (i.ServerStatus.IN_SERVICE, 0.0))
+        self.counts["broken_drain"] += status != i.ServerStatus.IN_SERVICE and self.now - when > GRACE
         if n.row.build == 2:
             f.trial.append(self.now)
             for window in (f.trial, f.taken):
--- a/myrtleroad/drill/codec.py
+++ b/myrtleroad/drill/codec.py
@@ -7,9 +7,9 @@
 from myrtleroad.facts import LOAD, NS_PER_MS, ms
 
 STATUSES = {
-    "in_service": i.Status.IN_SERVICE,
-    "terminating": i.Status.DRAINING,
-    "terminated": i.Status.GONE,
+    "in_service": i.ServerStatus.IN_SERVICE,
+    "terminating": i.ServerStatus.DRAINING,
+    "terminated": i.ServerStatus.GONE,
 }
 LISTS = {
     "Partial": i.ListKind.CHANGES,
@@ -41,16 +41,16 @@
     return json.dumps(message, separators=(",", ":"))
 
 
-def row(e: dict[str, Any], machine: int) -> i.Row:
-    return i.Row(
-        machine=machine,
+def row(e: dict[str, Any], machine: int) -> i.ServerEntry:
+    return i.ServerEntry(
+        server=machine,
         status=STATUSES[e.get("status", "in_service")],
         build=int(e.get("release", 0)),
         zone=e.get("area", 0),
         cell=e.get("stripe", 0),
-        kind=e.get("hw", 0),
+        server_type=e.get("hw", 0),
         weight=float(e.get("nominal", 1.0)),
-        started=ms(e.get("boot_time")),
+        started_at=ms(e.get("boot_time")),
     )
 
 
@@ -58,37 +58,37 @@
     return (m.get("usage") or {}).get(LOAD)
 
 
-def req(m: dict[str, Any], now: float) -> i.Req:
-    return i.Req(
-        ident=m["job"],
+def req(m: dict[str, Any], now: float) -> i.Request:
+    return i.Request(
+        id=m["job"],
         route=m.get("service", 0),
         tenant=m.get("client_group"),
-        key=m.get("affinity"),
-        ends_at=now + ms(m.get("grace")),
-        cost_ms=ms(m.get("hint")),
-        repeat=bool(m.get("resent")),
+        dedup_key=m.get("affinity"),
+        deadline=now + ms(m.get("grace")),
+        cost_hint_ms=ms(m.get("hint")),
+        is_repeat=bool(m.get("resent")),
     )
 
 
-def ended(m: dict[str, Any], machine: int) -> i.Ended:
-    how, took = i.End(m["how"]), ms(m.get("cost_time"))
-    return i.Ended(machine, m.get("seq_no", 0), how, took, load(m), bool(m.get("finished")))
+def ended(m: dict[str, Any], machine: int) -> i.AttemptEnded:
+    how, took = i.Outcome(m["how"]), ms(m.get("cost_time"))
+    return i.AttemptEnded(machine, m.get("seq_no", 0), how, took, load(m), bool(m.get("finished")))
 
 
-def stage_news(m: dict[str, Any]) -> i.StageNews:
-    return i.StageNews(
-        end=i.End(m["how"]),
+def stage_news(m: dict[str, Any]) -> i.StageUpdate:
+    return i.StageUpdate(
+        outcome=i.Outcome(m["how"]),
         answers_vote=m.get("reason", 0) == 1,
         build=m.get("build_no", 0),
         stage=m.get("wave", 0),
-        phase=i.Phase(m.get("where_at", 0)),
+        phase=i.RolloutPhase(m.get("where_at", 0)),
         cap=float(m.get("ceiling", 0.0)),
-        age_ms=ms(m.get("old")),
+        stage_age_ms=ms(m.get("old")),
     )
 
 
-def tally(m: dict[str, Any]) -> i.Tally:
-    return i.Tally(
+def tally(m: dict[str, Any]) -> i.AttemptCounts:
+    return i.AttemptCounts(
         m.get("build_no", 0),
         m.get("service", 0),
         m.get("n", 0),
@@ -98,12 +98,12 @@
     )
 
 
-def flagged(m: dict[str, Any], machine: int) -> i.Flagged:
-    return i.Flagged(machine, m.get("service", 0), ms(m.get("old")))
+def flagged(m: dict[str, Any], machine: int) -> i.BadResponseReported:
+    return i.BadResponseReported(machine, m.get("service", 0), ms(m.get("old")))
 
 
-def probed(m: dict[str, Any], machine: int) -> i.Probed:
-    return i.Probed(machine, i.End(m["how"]), ms(m.get("cost_time")), load(m))
+def probed(m: dict[str, Any], machine: int) -> i.ProbeEnded:
+    return i.ProbeEnded(machine, i.Outcome(m["how"]), ms(m.get("cost_time")), load(m))
 
 
 def fault(instance: int, event: str, error: BaseException) -> dict[str, Any]:
@@ -114,30 +114,30 @@
 def action(act: i.Action, machine: str | None, job: int | None, cookie: int = 0) -> dict[str, Any]:
     """One action as the wire's object; the host fills in whose it is."""
     match act:
-        case i.Send():
+        case i.SendAttempt():
             within = max(1, ns(act.timeout_ms))
             return {"cmd": "ATTEMPT", "job": job, "within": within, "machine": machine}
-        case i.Cancel():
-            return {"cmd": "WITHDRAW", "job": job, "seq_no": act.try_no}
+        case i.CancelAttempt():
+            return {"cmd": "WITHDRAW", "job": job, "seq_no": act.attempt_number}
         case i.Shed():
-            return {"cmd": "BOUNCE", "job": job, "pause": ns(act.come_back_ms)}
+            return {"cmd": "BOUNCE", "job": job, "pause": ns(act.retry_after_ms)}
         case i.Fail():
             return {"cmd": "ERROR", "job": job}
         case i.Vote():
             opinion = {"build_no": act.build, "reason": int(act.verdict), "wave": act.stage}
             return {"cmd": "OPINION", **opinion}
-        case i.Watch():
-            return {"cmd": "SUBSCRIBE", "on": act.on}
-        case i.Fetch():
+        case i.WatchServerList():
+            return {"cmd": "SUBSCRIBE", "on": act.enabled}
+        case i.FetchServerList():
             return {"cmd": "FETCH"}
-        case i.Probe():
+        case i.ProbeServer():
             return {"cmd": "SAMPLE", "machine": machine}
-        case i.CloseIdle():
+        case i.CloseIdleConnections():
             return {"cmd": "CLOSE", "machine": machine}
-        case i.Tell():
+        case i.SendToPeer():
             return {"cmd": "SIGNAL", "neighbour_id": act.peer, "raw": act.payload.hex()}
         case i.WakeAt():
             return {"cmd": "SCHEDULE", "due_at": ns(act.at), "cookie": cookie}
-        case i.Note():
+        case i.LogMessage():
             return {"cmd": "WRITE_LOG", "note_text": act.text}
     raise TypeError(f"no such action: {act!r}")
--- a/myrtleroad/drill/host.py
+++ b/myrtleroad/drill/host.py
@@ -22,8 +22,11 @@
         self.number = number
         known = facts(settings)
         self.balancer = Balancer(known, seed, now)
-        rules = known.rules
-        most_ms, service = rules.ask_every_ms or float("inf"), Service.SHARED  # a list that is asked for
+        rules = known.server_rules
+        most_ms, service = (
+            rules.max_poll_interval_ms or float("inf"),
+            Service.SHARED,
+        )  # a list that is asked for
         manner = Manner(known.balancers, rules.drain_grace_ms, SIGN_MS, most_ms, service)
         self.asks, self.asking = known.list_on_request, Asking(manner, Random(seed).random)
         self.told: float | None = None  # when the list was first told since the last failure
@@ -51,7 +54,7 @@
                 ended = codec.ended(m, self.machine(m["machine"]))
                 b.observe(m["job"], ended, now)
                 held = self.held.get(m["job"])
-                if held and ended.finished:
+                if held and ended.request_finished:
                     self.drop(held)
                 elif held:
                     self.resume(held, ended, now)
@@ -59,7 +62,7 @@
                 if m["cookie"] == WAKE:
                     self.act(b.wake(now))
                 elif m["cookie"] == ASK:
-                    self.act([i.Watch()])
+                    self.act([i.WatchServerList()])
                 elif mark := self.cookies.pop(m["cookie"], None):
                     held, wait = mark
                     if held.wait == wait:
@@ -78,7 +81,7 @@
                 if kind != i.ListKind.REMEMBERED:
                     self.told = now if self.told is None else self.told
                 rows = [codec.row(e, self.machine(e["machine"])) for e in lists[m.get("ref", 0)]]
-                self.act(b.listed(i.Listed(kind, rows), now))
+                self.act(b.listed(i.ServerListUpdate(kind, rows), now))
             case "SHIP_STATE":
                 self.act(b.stage_news(codec.stage_news(m), now))
             case "BAD_ANSWER":
@@ -93,7 +96,7 @@
     def begin(self, now: float) -> None:
         self.act(self.balancer.wake(now))
         if self.asks:
-            self.act([i.Watch()])
+            self.act([i.WatchServerList()])
 
     def ask_again(self, now: float) -> None:
         stood = None if self.told is None else now - self.told
@@ -106,16 +109,16 @@
 
     def act(self, actions: Iterable[i.Action]) -> None:
         for a in actions:
-            word = self.words[a.machine] if isinstance(a, i.Probe | i.CloseIdle) else None
+            word = self.words[a.server] if isinstance(a, i.ProbeServer | i.CloseIdleConnections) else None
             self.put(codec.action(a, word, None, WAKE))
 
     def put(self, message: dict[str, Any]) -> None:
         message["front_id"] = self.number
         self.out.append(message)
 
-    def resume(self, held: Life, result: i.Ended | None, now: float) -> None:
+    def resume(self, held: Life, result: i.AttemptEnded | None, now: float) -> None:
         for act in held.resume(result, now):
-            word = self.words[act.machine] if isinstance(act, i.Send) else None
+            word = self.words[act.server] if isinstance(act, i.SendAttempt) else None
             self.put(codec.action(act, word, held.ident))
         if held.over:
             del self.held[held.ident]
--- a/myrtleroad/facts.py
+++ b/myrtleroad/facts.py
@@ -6,12 +6,12 @@
 
 NS_PER_MS = 1_000_000
 EFFECTS = {
-    "repeatable": i.Effect.RETRIABLE,
-    "by_key": i.Effect.DEDUPED,
-    "once": i.Effect.NON_RETRIABLE,
+    "repeatable": i.RetrySafety.RETRIABLE,
+    "by_key": i.RetrySafety.DEDUPED,
+    "once": i.RetrySafety.NON_RETRIABLE,
 }
-GROUPS = {"all": i.Group.ALL, "zone": i.Group.ZONE, "cell": i.Group.CELL}
-GATES = {"first_voice": i.Gate.ANY, "by_count": i.Gate.COUNT, "automatic": i.Gate.CLOCK}
+GROUPS = {"all": i.DedupScope.ALL, "zone": i.DedupScope.ZONE, "cell": i.DedupScope.CELL}
+GATES = {"first_voice": i.VoteMode.ANY, "by_count": i.VoteMode.COUNT, "automatic": i.VoteMode.CLOCK}
 LOAD = "active"  # the column of a load report that says how many reqs a machine holds
 
 
@@ -19,17 +19,17 @@
     return (value or 0) / NS_PER_MS
 
 
-def facts(s: dict[str, Any]) -> i.Facts:
+def facts(s: dict[str, Any]) -> i.Settings:
     rules, roll, limits = s["obligations"], s.get("specifics", {}), s["limits"]
     columns = s.get("report", {}).get("columns", [])
-    return i.Facts(
+    return i.Settings(
         balancers=s["balancers"],
         zone=s.get("zone", 0),
         routes=tuple(
             i.Route(
-                effect=EFFECTS[lane["effect"]],
-                group=GROUPS[lane.get("group", "all")],
-                dedup_ms=ms(lane.get("dedup_window")),
+                retry_safety=EFFECTS[lane["effect"]],
+                dedup_scope=GROUPS[lane.get("group", "all")],
+                dedup_window_ms=ms(lane.get("dedup_window")),
                 objective_ms=ms(lane["on_time"]),
                 timeout_ms=ms(lane["give_up"]),
                 benefit=lane.get("worth", 1.0),
@@ -40,38 +40,38 @@
         tenants=tuple(i.Tenant(t["share"], t["quota_per_s"]) for t in s.get("tenants") or ()),
         over_share_benefit=s.get("over_share_worth", 1.0),
         benefit_by_work=s.get("worth_by") == "work",
-        rules=i.Rules(
+        server_rules=i.ServerRules(
             drain_grace_ms=ms(rules["drain_grace"]),
-            cold_ms=ms(rules["cold"]),
-            cold_share=rules["cold_share"],
+            slow_start_ms=ms(rules["cold"]),
+            slow_start_min_share=rules["cold_share"],
             overload_factor=rules["overload_factor"],
-            fall_ms=ms(rules["fall"]),
-            ask_every_ms=ms(rules.get("ask_every")),
+            overload_window_ms=ms(rules["fall"]),
+            max_poll_interval_ms=ms(rules.get("ask_every")),
         ),
         rollout=i.Rollout(
-            gate=GATES[roll.get("gate_mode", "by_count")],
-            on_votes=roll.get("votes_to_go", 1),
-            back_votes=roll.get("noes_needed", 1),
-            vote_life_ms=ms(roll.get("vote_life")),
-            answer_wait_ms=ms(roll.get("answer_wait")),
-            calls_per_s=roll.get("calls_per_s", 1.0),
-            soak_ms=ms(roll.get("soak")),
-            caps=tuple(roll.get("stage_cap") or (0.0,)),
-            span_ms=ms(roll.get("span")),
-            free=roll.get("free", 0.0),
-            by_route=roll.get("counts") == "each_class",
-            guarded_stages=roll.get("guarded_stages", 0),
-            no_return=bool(roll.get("no_return")),
-            counts_every_ms=ms(roll.get("sums_every")),
-            in_place=roll.get("replace_mode") == "replace",
+            vote_mode=GATES[roll.get("gate_mode", "by_count")],
+            votes_to_advance=roll.get("votes_to_go", 1),
+            votes_to_roll_back=roll.get("noes_needed", 1),
+            vote_lifetime_ms=ms(roll.get("vote_life")),
+            vote_timeout_ms=ms(roll.get("answer_wait")),
+            max_calls_per_s=roll.get("calls_per_s", 1.0),
+            stage_soak_ms=ms(roll.get("soak")),
+            stage_caps=tuple(roll.get("stage_cap") or (0.0,)),
+            exposure_window_ms=ms(roll.get("span")),
+            free_attempts=roll.get("free", 0.0),
+            cap_per_route=roll.get("counts") == "each_class",
+            retriable_only_stages=roll.get("guarded_stages", 0),
+            forbids_downgrade=bool(roll.get("no_return")),
+            counts_interval_ms=ms(roll.get("sums_every")),
+            replaces_in_place=roll.get("replace_mode") == "replace",
         ),
         list_on_request=s.get("registry_mode") == "on_request",
-        max_tries=limits["max_attempts"],
-        second_copies=limits["second_copies"],
-        come_back=limits["retry_after"],
-        max_come_back_ms=ms(limits.get("max_retry_after")),
-        weights_mean_size=s.get("weight_kind") in ("nominal", "rough"),
+        max_attempts=limits["max_attempts"],
+        hedging_allowed=limits["second_copies"],
+        retry_after_allowed=limits["retry_after"],
+        max_retry_after_ms=ms(limits.get("max_retry_after")),
+        weights_are_capacity=s.get("weight_kind") in ("nominal", "rough"),
         load_column=columns.index(LOAD) if LOAD in columns else None,
-        handshake_price=s.get("prices", {}).get("handshake", 0.0),
-        idle_ms=ms(limits.get("idle_close")),
+        handshake_cost=s.get("prices", {}).get("handshake", 0.0),
+        idle_timeout_ms=ms(limits.get("idle_close")),
     )
--- a/myrtleroad/interface.py
+++ b/myrtleroad/interface.py
@@ -13,13 +13,13 @@
 from enum import IntEnum
 
 
-class Effect(IntEnum):
+class RetrySafety(IntEnum):
     RETRIABLE = 0
     DEDUPED = 1
     NON_RETRIABLE = 2
 
 
-class Group(IntEnum):
+class DedupScope(IntEnum):
     """Which machines drop a repeat of a deduped req."""
 
     ALL = 0
@@ -27,7 +27,7 @@
     CELL = 2
 
 
-class Gate(IntEnum):
+class VoteMode(IntEnum):
     """How votes move a build: one vote, a number of votes, or the clock unless held."""
 
     ANY = 0
@@ -35,7 +35,7 @@
     CLOCK = 2
 
 
-class End(IntEnum):
+class Outcome(IntEnum):
     """How an upstream try or a call ended."""
 
     COMPLETED = 1
@@ -48,16 +48,16 @@
     MOOT = 8
 
 
-NEVER_RAN = frozenset((End.FULL, End.NOT_CONNECTED, End.MOOT))
+NOT_EXECUTED = frozenset((Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.MOOT))
 
 
-class Status(IntEnum):
+class ServerStatus(IntEnum):
     IN_SERVICE = 0
     DRAINING = 1
     GONE = 2
 
 
-class Phase(IntEnum):
+class RolloutPhase(IntEnum):
     ON_TRIAL = 0
     GOING_BACK = 1
     RELEASED = 2
@@ -77,7 +77,7 @@
     REMEMBERED = 2
 
 
-class Sight(IntEnum):
+class ListFreshness(IntEnum):
     """How far the list can be trusted to be all that was told."""
 
     FRESH = 0  # a stream stands and has said something lately
@@ -90,14 +90,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    effect: Effect
-    group: Group
-    dedup_ms: float
+    retry_safety: RetrySafety
+    dedup_scope: DedupScope
+    dedup_window_ms: float
     objective_ms: float
     timeout_ms: float
     benefit: float
     late_benefit: float
-    most_tries: int = 1_000_000  # that operators allow, beside the settings' own bound
+    max_attempts: int = 1_000_000  # that operators allow, beside the settings' own bound
     retry_budget: float = 1.0  # most further tries a req earns
 
 
@@ -108,174 +108,174 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rules:
+class ServerRules:
     drain_grace_ms: float
-    cold_ms: float
-    cold_share: float
+    slow_start_ms: float
+    slow_start_min_share: float
     overload_factor: float
-    fall_ms: float
-    ask_every_ms: float
+    overload_window_ms: float
+    max_poll_interval_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class Rollout:
-    gate: Gate
-    on_votes: int
-    back_votes: int
-    vote_life_ms: float
-    answer_wait_ms: float
-    calls_per_s: float
-    soak_ms: float
-    caps: tuple[float, ...]
-    span_ms: float
-    free: float
-    by_route: bool
-    guarded_stages: int
-    no_return: bool
-    counts_every_ms: float
-    in_place: bool = False  # the earlier build's machines go as the trial's start
+    vote_mode: VoteMode
+    votes_to_advance: int
+    votes_to_roll_back: int
+    vote_lifetime_ms: float
+    vote_timeout_ms: float
+    max_calls_per_s: float
+    stage_soak_ms: float
+    stage_caps: tuple[float, ...]
+    exposure_window_ms: float
+    free_attempts: float
+    cap_per_route: bool
+    retriable_only_stages: int
+    forbids_downgrade: bool
+    counts_interval_ms: float
+    replaces_in_place: bool = False  # the earlier build's machines go as the trial's start
 
 
 @dataclass(slots=True, frozen=True)
-class Facts:
+class Settings:
     balancers: int
     zone: int
     routes: tuple[Route, ...]
     tenants: tuple[Tenant, ...]
     over_share_benefit: float
     benefit_by_work: bool
-    rules: Rules
+    server_rules: ServerRules
     rollout: Rollout
     list_on_request: bool
-    max_tries: int
-    second_copies: bool
-    come_back: bool
-    max_come_back_ms: float
-    weights_mean_size: bool
+    max_attempts: int
+    hedging_allowed: bool
+    retry_after_allowed: bool
+    max_retry_after_ms: float
+    weights_are_capacity: bool
     load_column: int | None
-    handshake_price: float = 0.0  # a new connection, in benefit of a mean req
-    idle_ms: float = 0.0  # how long a machine keeps a connection that carries nothing
+    handshake_cost: float = 0.0  # a new connection, in benefit of a mean req
+    idle_timeout_ms: float = 0.0  # how long a machine keeps a connection that carries nothing
 
 
 # --- events ---
 
 
 @dataclass(slots=True)
-class Row:
-    machine: int
-    status: Status
+class ServerEntry:
+    server: int
+    status: ServerStatus
     build: int
     zone: int
     cell: int
-    kind: int
+    server_type: int
     weight: float
-    started: float
+    started_at: float
 
 
 @dataclass(slots=True)
-class Listed:
+class ServerListUpdate:
     kind: ListKind
-    rows: list[Row] = field(default_factory=list)
+    entries: list[ServerEntry] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Sighted:
+class ListFreshnessChanged:
     """The sight has changed; ``since`` is when the last word or sign of life came."""
 
-    sight: Sight
-    since: float
+    freshness: ListFreshness
+    last_received_at: float
 
 
 @dataclass(slots=True)
-class Narrowed:
+class SettingsNarrowed:
     """What operators narrow of the facts told at the start, never more than they were; ``trial_share`` bounds
     the told cap of a build on trial."""
 
-    facts: Facts
-    trial_share: float
+    settings: Settings
+    max_trial_share: float
 
 
 @dataclass(slots=True)
-class Req:
-    ident: int
+class Request:
+    id: int
     route: int
     tenant: int | None
-    key: str | None
-    ends_at: float
-    cost_ms: float
-    repeat: bool
+    dedup_key: str | None
+    deadline: float
+    cost_hint_ms: float
+    is_repeat: bool
 
 
 @dataclass(slots=True)
-class Ended:
-    machine: int
-    try_no: int
-    end: End
-    took_ms: float
-    load: float | None
-    finished: bool
+class AttemptEnded:
+    server: int
+    attempt_number: int
+    outcome: Outcome
+    duration_ms: float
+    reported_load: float | None
+    request_finished: bool
     connected_at: float = float("inf")  # when the connection that carried it was made, if it is known
 
 
 @dataclass(slots=True)
-class StageNews:
-    end: End
+class StageUpdate:
+    outcome: Outcome
     answers_vote: bool
     build: int
     stage: int
-    phase: Phase
+    phase: RolloutPhase
     cap: float
-    age_ms: float
+    stage_age_ms: float
 
 
 @dataclass(slots=True)
-class Tally:
+class AttemptCounts:
     build: int
     route: int
-    count: int
+    attempts: int
     errors: int
-    mean_ms: float
+    mean_duration_ms: float
     age_ms: float
 
 
 @dataclass(slots=True)
-class Flagged:
-    machine: int
+class BadResponseReported:
+    server: int
     route: int
     age_ms: float
 
 
 @dataclass(slots=True)
-class Probed:
-    machine: int
-    end: End
-    took_ms: float
-    load: float | None
+class ProbeEnded:
+    server: int
+    outcome: Outcome
+    duration_ms: float
+    reported_load: float | None
 
 
 # --- actions ---
 
 
 @dataclass(slots=True)
-class Send:
-    machine: int
+class SendAttempt:
+    server: int
     timeout_ms: float
-    patience_ms: float | None = None
+    max_wait_ms: float | None = None
 
 
 @dataclass(slots=True)
-class Await:
-    patience_ms: float | None = None
+class Wait:
+    max_wait_ms: float | None = None
 
 
 @dataclass(slots=True)
-class Cancel:
-    try_no: int
+class CancelAttempt:
+    attempt_number: int
 
 
 @dataclass(slots=True)
 class Shed:
-    come_back_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(slots=True)
@@ -291,27 +291,27 @@
 
 
 @dataclass(slots=True)
-class Watch:
-    on: bool = True
+class WatchServerList:
+    enabled: bool = True
 
 
 @dataclass(slots=True)
-class Fetch:
+class FetchServerList:
     pass
 
 
 @dataclass(slots=True)
-class Probe:
-    machine: int
+class ProbeServer:
+    server: int
 
 
 @dataclass(slots=True)
-class CloseIdle:
-    machine: int
+class CloseIdleConnections:
+    server: int
 
 
 @dataclass(slots=True)
-class Tell:
+class SendToPeer:
     peer: int
     payload: bytes
 
@@ -322,8 +322,22 @@
 
 
 @dataclass(slots=True)
-class Note:
+class LogMessage:
     text: str
 
 
-Action = Send | Await | Cancel | Shed | Fail | Vote | Watch | Fetch | Probe | CloseIdle | Tell | WakeAt | Note
+Action = (
+    SendAttempt
+    | Wait
+    | CancelAttempt
+    | Shed
+    | Fail
+    | Vote
+    | WatchServerList
+    | FetchServerList
+    | ProbeServer
+    | CloseIdleConnections
+    | SendToPeer
+    | WakeAt
+    | LogMessage
+)
--- a/myrtleroad/life.py
+++ b/myrtleroad/life.py
@@ -10,13 +10,13 @@
 
     __slots__ = ("begun", "gen", "ident", "patience", "wait")
 
-    def __init__(self, ident: int, gen: Generator[i.Action, tuple[float, i.Ended | None], None]):
+    def __init__(self, ident: int, gen: Generator[i.Action, tuple[float, i.AttemptEnded | None], None]):
         self.ident, self.gen = ident, gen
         self.begun = False
         self.wait = 0  # counts the waits
         self.patience: float | None = None  # of the wait it is in
 
-    def resume(self, result: i.Ended | None, now: float) -> Iterator[i.Action]:
+    def resume(self, result: i.AttemptEnded | None, now: float) -> Iterator[i.Action]:
         """The actions up to the next wait; the last of all is followed by no wait, see ``over``."""
         self.calm()
         while True:
@@ -26,10 +26,10 @@
                 self.gen.close()
                 return
             self.begun, result = True, None
-            if not isinstance(act, i.Await):
+            if not isinstance(act, i.Wait):
                 yield act
-            if isinstance(act, i.Send | i.Await):
-                self.patience = act.patience_ms
+            if isinstance(act, i.SendAttempt | i.Wait):
+                self.patience = act.max_wait_ms
                 return
 
     @property
--- a/myrtleroad/membership/following.py
+++ b/myrtleroad/membership/following.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from myrtleroad.interface import Sight
+from myrtleroad.interface import ListFreshness
 from myrtleroad.membership.asking import Asking, Manner
 from myrtleroad.membership.lease import ListLease
 
@@ -29,7 +29,7 @@
 class Seen:
     """The sight has changed."""
 
-    sight: Sight
+    sight: ListFreshness
     since: float  # when the last word or sign of life came
     why: str
 
@@ -72,7 +72,7 @@
         # that stands, one beside it, and after a move one that was left
         self.next, self.source, self.wanted = 0, 0, False
         self.again: float | None = None  # when to ask again, where no stream is held
-        self.sight, self.since = Sight.BLIND, now
+        self.sight, self.since = ListFreshness.BLIND, now
         self.lease: ListLease | None = None  # of what is followed, where that expires
 
     # --- events ---
@@ -207,7 +207,7 @@
         if followed:
             self.lease.followed(self.since)
         else:
-            self.lease.lost(now, self.sight is not Sight.FRESH)
+            self.lease.lost(now, self.sight is not ListFreshness.FRESH)
         self.lease.waits(any(s.told is None for s in self.streams.values()))
 
     def look(self, now: float, why: str) -> list[Act]:
@@ -215,9 +215,11 @@
         telling = [s for s in self.streams.values() if s.told is not None]
         if telling:
             self.since = max(self.since, *(s.heard for s in telling))
-            sight = Sight.FRESH if any(now < self.doubt(s) for s in telling) else Sight.DOUBTFUL
+            sight = (
+                ListFreshness.FRESH if any(now < self.doubt(s) for s in telling) else ListFreshness.DOUBTFUL
+            )
         else:
-            sight = Sight.BLIND
+            sight = ListFreshness.BLIND
         self.renew(now, bool(telling))
         if (last := self.last()) is not None and last.source == self.source and now < self.doubt(last):
             self.again = None  # the one that was in doubt speaks again
--- a/myrtleroad/membership/lease.py
+++ b/myrtleroad/membership/lease.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from myrtleroad.interface import Facts
+from myrtleroad.interface import Settings
 
 NEVER = float("-inf")
 NO_MOVE = float("inf")
@@ -30,13 +30,13 @@
     margin_ms: float = 0.0  # of the drain grace, less what a front may be held
 
     @classmethod
-    def of(cls, facts: Facts) -> "Terms":
-        margin = max(0.0, facts.rules.drain_grace_ms - HOLD_MS)
-        told = min(TOLD_MS, facts.rules.ask_every_ms or TOLD_MS)
+    def of(cls, settings: Settings) -> "Terms":
+        margin = max(0.0, settings.server_rules.drain_grace_ms - HOLD_MS)
+        told = min(TOLD_MS, settings.server_rules.max_poll_interval_ms or TOLD_MS)
         return cls(
-            bound_ms=margin if not facts.list_on_request else told + margin,
+            bound_ms=margin if not settings.list_on_request else told + margin,
             silent_bound_ms=TOLD_MS + margin,
-            pushed=not facts.list_on_request,
+            pushed=not settings.list_on_request,
             margin_ms=margin,
         )
 
--- a/myrtleroad/net/bounds.py
+++ b/myrtleroad/net/bounds.py
@@ -34,14 +34,14 @@
 
     def trial_cap(self) -> float | None:
         news = self.brain.balancer.news
-        return news.cap if news.phase == i.Phase.ON_TRIAL else None
+        return news.cap if news.phase == i.RolloutPhase.ON_TRIAL else None
 
     def hold(self, bounds: rules.Bounds | None) -> None:
         now = self.clock()
         held = bounds if bounds is not None else rules.effective(EMPTY, self.told.bounds(1.0))
         event = narrow(self.told.facts, held, self.routes, self.tenants)
         if bounds is None:
-            event.trial_share = 1.0
+            event.max_trial_share = 1.0
         zones = frozenset(self.told.zones[z] for z in held.zones_aside)
         changed = (held.machines_aside, zones) != self.brain.aside
         listing = Listing(self.roster.book.version, i.ListKind.CHANGES, list(self.roster.book.known.values()))
@@ -53,4 +53,4 @@
         if changed:
             self.brain.tell(listing)
         self.brain.hear()
-        self.door.bind(event.facts, held.networks, self.gate if bounds is not None else None)
+        self.door.bind(event.settings, held.networks, self.gate if bounds is not None else None)
--- a/myrtleroad/net/brain.py
+++ b/myrtleroad/net/brain.py
@@ -28,7 +28,7 @@
 
 APART = 24  # descriptors for all else: log, clock, both streams, twice while they move, a vote, some to spare
 MOST_HELD = 1e6  # reqs that no machine holds: a report past it, or not a number, is none
-OPEN = i.Status.IN_SERVICE
+OPEN = i.ServerStatus.IN_SERVICE
 NUDGE = None  # in the mailbox: something waits in the lane
 SLACK_MS = 50.0  # what every limit of time is longer by on sockets (protocol)
 TURN_MS = 50.0  # half a tick, then others get a turn: a full mailbox alone never lets them have one
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Taken:
-    rq: i.Req
+    rq: i.Request
     message: Message
     at: float
     answer: Callable[[reply.Reply], None]
@@ -144,7 +144,7 @@
             if held := self.open.get(message.job.ident):
                 held.life.end()
                 self.answer(held, reply.errored())
-        elif isinstance(message, Taken) and message.rq.ident not in self.open:
+        elif isinstance(message, Taken) and message.rq.id not in self.open:
             message.answer(reply.errored())
 
     def expire(self, now: float) -> None:
@@ -159,7 +159,7 @@
             self.counters.add("account_off", abs(lost - self.off))
             self.log("account off", level="warning", reqs=lost, open=len(self.open))
             self.off = lost
-        for held in [x for x in self.open.values() if now > x.taken.rq.ends_at + SLACK_MS]:
+        for held in [x for x in self.open.values() if now > x.taken.rq.deadline + SLACK_MS]:
             self.counters.add("reqs_expired")
             held.life.end()
             self.answer(held, reply.errored())
@@ -207,11 +207,11 @@
             case Listing():
                 self.counters.add("lists")
                 self.guard("list", self.listed, message, now)
-            case i.Narrowed():
+            case i.SettingsNarrowed():
                 self.guard("narrowed", self.balancer.narrowed, message, now)
-            case i.Sighted():
-                self.counters.add(f"list_{message.sight.name.lower()}")
-            case i.StageNews():
+            case i.ListFreshnessChanged():
+                self.counters.add(f"list_{message.freshness.name.lower()}")
+            case i.StageUpdate():
                 self.counters.add("stage_news")
                 self.guard("news", self.told_stage, message, now)
 
@@ -234,9 +234,9 @@
             state = dict(open=len(self.open), clients=self.clients(), links=out, mailbox=waiting)
             self.behind("behind", now, what=what, lag_ms=round(lag, 1), **state)
 
-    def told_stage(self, news: i.StageNews, now: float) -> None:
+    def told_stage(self, news: i.StageUpdate, now: float) -> None:
         stage = (news.build, news.stage, news.phase.name, news.cap)
-        if news.end == i.End.COMPLETED and stage != self.stage:
+        if news.outcome == i.Outcome.COMPLETED and stage != self.stage:
             self.stage = stage
             self.log("stage", build=news.build, stage=news.stage, phase=news.phase.name, cap=news.cap)
         self.act(self.balancer.stage_news(news, now), now)
@@ -248,7 +248,7 @@
 
     def taken(self, message: Taken, now: float) -> None:
         rq, word = message.rq, message.message.header(b"x-txn")
-        unread = self.entry.word(message.age + now - message.at, rq.ends_at - now, now)
+        unread = self.entry.word(message.age + now - message.at, rq.deadline - now, now)
         if unread != Word.TAKE:
             self.counters.add(f"reqs_waited_{unread.name.lower()}")
             message.answer(reply.full(self.told.facts))
@@ -259,18 +259,20 @@
             return
         self.ids[word] = 1
         self.counters.add("reqs_taken")
-        held = Open(Life(rq.ident, self.balancer.serve(rq, now)), message)
-        self.open[rq.ident] = held
+        held = Open(Life(rq.id, self.balancer.serve(rq, now)), message)
+        self.open[rq.id] = held
         self.resume(held, None, now)
 
     def ended(self, message: TryEnded, now: float) -> None:
         job = message.job
         self.let_go(job.message)
         held = self.open.get(job.ident)
-        done = message.end == i.End.COMPLETED
+        done = message.end == i.Outcome.COMPLETED
         load = self.load(message)
         over, connected_at = held is None or done, message.connected_at
-        ended = i.Ended(job.machine, job.try_no, message.end, message.took_ms, load, over, connected_at)
+        ended = i.AttemptEnded(
+            job.machine, job.try_no, message.end, message.took_ms, load, over, connected_at
+        )
         self.guard("try ended", self.balancer.observe, job.ident, ended, now)
         if held and done:
             held.life.end()
@@ -290,7 +292,7 @@
             return None
         return reported(message.result.header(b"x-pressure"))
 
-    def resume(self, held: Open, ended: i.Ended | None, now: float) -> None:
+    def resume(self, held: Open, ended: i.AttemptEnded | None, now: float) -> None:
         try:
             for act in held.life.resume(ended, now):
                 self.carry_out(held, act, now)
@@ -305,28 +307,28 @@
 
     def carry_out(self, held: Open, act: i.Action, now: float) -> None:
         match act:
-            case i.Send():
+            case i.SendAttempt():
                 self.send(held, act, now)
             case i.Shed():
-                self.answer(held, reply.shed(act.come_back_ms))
+                self.answer(held, reply.shed(act.retry_after_ms))
             case i.Fail():
                 self.answer(held, reply.errored())
-            case i.Cancel():
-                if machine := self.machines.get(held.sent[act.try_no]):
-                    machine.mailbox.put(CallOff(held.life.ident, act.try_no))
+            case i.CancelAttempt():
+                if machine := self.machines.get(held.sent[act.attempt_number]):
+                    machine.mailbox.put(CallOff(held.life.ident, act.attempt_number))
             case _:
                 raise TypeError(f"no action of a req: {act!r}")
 
-    def send(self, held: Open, act: i.Send, now: float) -> None:
-        row = self.balancer.machines[act.machine].row
-        ends_at = min(now + act.timeout_ms, held.taken.rq.ends_at)
-        ticket = (row.build, row.started, self.cap(row.build))
+    def send(self, held: Open, act: i.SendAttempt, now: float) -> None:
+        row = self.balancer.machines[act.server].row
+        ends_at = min(now + act.timeout_ms, held.taken.rq.deadline)
+        ticket = (row.build, row.started_at, self.cap(row.build))
         number, message = len(held.sent), held.taken.message
-        job = Job(held.life.ident, number, act.machine, message, now, ends_at, ticket)
-        held.sent.append(act.machine)
+        job = Job(held.life.ident, number, act.server, message, now, ends_at, ticket)
+        held.sent.append(act.server)
         self.ids[message.header(b"x-txn")] += 1
         self.counters.add("tries")
-        self.machines[act.machine].mailbox.put(Go(job))
+        self.machines[act.server].mailbox.put(Go(job))
 
     def cap(self, build: int) -> float:
         return self.balancer.cap(build)[0] if self.balancer.on_trial(build) else float("inf")
@@ -341,7 +343,7 @@
         known = self.balancer.machines.get(job.machine)
         build, started, cap = job.ticket
         listed = known is not None and self.balancer.listed_open(known, self.clock())
-        if not listed or (known.row.build, known.row.started) != (build, started):
+        if not listed or (known.row.build, known.row.started_at) != (build, started):
             self.counters.add("sends_stopped_by_list")
             return False
         if self.cap(build) < cap:
@@ -370,7 +372,7 @@
 
     def note_overdue(self, held: Open, kind: str, now: float) -> None:
         """An answer after its req's time names the req, so that one lost can be followed."""
-        over = now - held.taken.rq.ends_at
+        over = now - held.taken.rq.deadline
         if over <= SLACK_MS:
             return
         self.counters.add("answers_overdue")
@@ -388,7 +390,7 @@
                     self.counters.add("votes")
                     self.log("vote", build=act.build, verdict=act.verdict.name, stage=act.stage)
                     self.vote(act)
-                case i.Note(text):
+                case i.LogMessage(text):
                     self.log("note", text=text)
                 case _:
                     raise TypeError(f"not carried out here: {act!r}")
@@ -397,8 +399,8 @@
         """Starts that this listing is the first to tell."""
         for entry in listing.entries:
             known = self.places.get(self.index.get(entry.word, -1))
-            if known is None or known[1] != entry.row.started:
-                self.balancer.start_clock.told(entry.row.started, now, listing.watched)
+            if known is None or known[1] != entry.row.started_at:
+                self.balancer.start_clock.told(entry.row.started_at, now, listing.watched)
 
     def listed(self, listing: Listing, now: float) -> None:
         """The list reaches the module and the machines' actors before any send that follows it."""
@@ -407,8 +409,8 @@
             number = self.index.setdefault(e.word, len(self.index))
             if number == len(self.names):
                 self.names.append(e.word)
-            e.row.machine = number
-            place = (e.address, e.row.started)
+            e.row.server = number
+            place = (e.address, e.row.started_at)
             if number not in self.machines:
                 args = (self.told, self.clock, self.counters, self.share, self.end, self.stands)
                 actor = self.machines[number] = Machine(e.address, *args)
@@ -422,7 +424,7 @@
             e.draining().row if e.row.status == OPEN and (e.word in words or e.row.zone in zones) else e.row
             for e in listing.entries
         ]
-        self.act(self.balancer.listed(i.Listed(listing.kind, rows), now), now)
+        self.act(self.balancer.listed(i.ServerListUpdate(listing.kind, rows), now), now)
         for number in [n for n in self.machines if n not in self.balancer.machines]:
             self.machines.pop(number).mailbox.put(Leave())
             del self.places[number]
--- a/myrtleroad/net/desk.py
+++ b/myrtleroad/net/desk.py
@@ -26,22 +26,22 @@
     i.Verdict.BACK: "reject",
 }
 ERRORS = {  # an answer of these statuses with these codes says that the vote was not carried out
-    (400, "throttled"): i.End.FULL,
-    (400, "conflict"): i.End.MOOT,
-    (400, "invalid"): i.End.ERRORED,
-    (500, "internal"): i.End.ERRORED,
+    (400, "throttled"): i.Outcome.FULL,
+    (400, "conflict"): i.Outcome.MOOT,
+    (400, "invalid"): i.Outcome.ERRORED,
+    (500, "internal"): i.Outcome.ERRORED,
 }
 
 
-def unanswered(end: i.End) -> i.StageNews:
-    return i.StageNews(end, True, 0, 0, i.Phase.ON_TRIAL, 0.0, 0.0)
+def unanswered(end: i.Outcome) -> i.StageUpdate:
+    return i.StageUpdate(end, True, 0, 0, i.RolloutPhase.ON_TRIAL, 0.0, 0.0)
 
 
-def news_of(result: Answer | Broken) -> i.StageNews:
+def news_of(result: Answer | Broken) -> i.StageUpdate:
     """What the answer to a vote says; what cannot be read may have been carried out."""
     if isinstance(result, Broken):
         # Never carried out where its last byte was not written, as if the platform had been in error.
-        return unanswered(i.End.ERRORED if result.reach < Reach.WRITTEN else i.End.TIMEOUT)
+        return unanswered(i.Outcome.ERRORED if result.reach < Reach.WRITTEN else i.Outcome.TIMEOUT)
     try:
         root = ET.fromstring(b"".join(result.body))
         if result.status == 200:
@@ -50,9 +50,9 @@
         # The protocol shows the error alone; a platform that answers calls in a Response puts it in there.
         error = root if root.tag == "Error" else root.find(".//Error")
         code = error.findtext("Code", "") if error is not None else ""
-        return unanswered(ERRORS.get((result.status, code), i.End.TIMEOUT))
+        return unanswered(ERRORS.get((result.status, code), i.Outcome.TIMEOUT))
     except (ET.ParseError, *UNREADABLE):
-        return unanswered(i.End.TIMEOUT)
+        return unanswered(i.Outcome.TIMEOUT)
 
 
 def said(result: Answer | Broken) -> str:
@@ -101,7 +101,7 @@
 
     def __init__(self, told: Told, counters: Counters, log: Log, deliver: Callable[[object], None]):
         self.at, self.counters, self.log, self.deliver = told.platform, counters, log, deliver
-        self.wait_s = told.facts.rollout.answer_wait_ms / 1000
+        self.wait_s = told.facts.rollout.vote_timeout_ms / 1000
         self.mailbox: SimpleQueue = SimpleQueue()
 
     def run(self) -> None:
@@ -112,10 +112,10 @@
                 continue
             result = self.cast(message)
             news = news_of(result)
-            if news.end == i.End.TIMEOUT:
+            if news.outcome == i.Outcome.TIMEOUT:
                 self.log("vote unclear", level="warning", what=said(result))
-            self.counters.add(f"votes_{news.end.name.lower()}")
-            self.log("vote answered", end=news.end.name, build=news.build, stage=news.stage)
+            self.counters.add(f"votes_{news.outcome.name.lower()}")
+            self.log("vote answered", end=news.outcome.name, build=news.build, stage=news.stage)
             self.deliver(news)
 
     def cast(self, vote: i.Vote) -> Answer | Broken:
--- a/myrtleroad/net/door.py
+++ b/myrtleroad/net/door.py
@@ -186,7 +186,7 @@
         if isinstance(rq, reply.Reply):
             self.answer(rq)
         else:
-            self.held = rq.ident
+            self.held = rq.id
             door.deliver(Taken(rq, message, now, self.answer, age))
 
     def refuse(self, status: int) -> None:
@@ -296,7 +296,7 @@
         )  # connections kept between reqs: under the third that open reqs may hold
         self.ident = 0
         self.stopping = False
-        self.facts, self.networks, self.gate = told.facts, None, None  # what operators narrow of the told
+        self.settings, self.networks, self.gate = told.facts, None, None  # what operators narrow of the told
         self.tenants = [name.decode() for name in told.tenants]
         self.sock = open_listener(told.listen)
         self.closed = False  # nothing is accepted any more
@@ -307,15 +307,15 @@
         connection: the descriptors they hold, until they are found idle, are those of the next clients."""
         return len(self.clients) > self.many
 
-    def bind(self, facts: i.Facts, networks: "Networks | None", gate: "Gate | None") -> None:
+    def bind(self, settings: i.Settings, networks: "Networks | None", gate: "Gate | None") -> None:
         """What holds from now on: for reqs not yet taken, and for addresses at once."""
-        self.facts, self.networks = facts, networks
+        self.settings, self.networks = settings, networks
         if self.gate is not gate:
             for client in self.clients:
                 client.tenant = None  # counted by a gate that is no more, or by none
             self.gate = gate
 
-    def bound(self, client: Client, rq: i.Req, now: float) -> reply.Reply | None:
+    def bound(self, client: Client, rq: i.Request, now: float) -> reply.Reply | None:
         """The answer to a req that operators do not let in."""
         if self.networks is not None and client.peer and not self.networks.admits(client.peer):
             self.counters.add("reqs_network_refused")
@@ -326,21 +326,21 @@
             wait = self.gate.take(name, now)
             if wait is not None:
                 self.counters.add("reqs_over_bound")
-                most = self.facts.max_come_back_ms if self.facts.come_back else 0.0
+                most = self.settings.max_retry_after_ms if self.settings.retry_after_allowed else 0.0
                 return reply.shed(min(wait, most))
             client.tenant = name
         return None
 
-    def word(self, rq: i.Req, message: head.Message, age: float, now: float) -> reply.Reply | None:
+    def word(self, rq: i.Request, message: head.Message, age: float, now: float) -> reply.Reply | None:
         """The answer to a req that has waited unread for too long; nothing was sent for it."""
         self.counters.high("longest_unread_ms", age)
-        word = self.entry.word(age, rq.ends_at - now, now)
+        word = self.entry.word(age, rq.deadline - now, now)
         if word == Word.TAKE:
             return None
         self.counters.add(f"reqs_unread_{word.name.lower()}")
-        txn, left = (message.header(b"x-txn") or b"").decode("latin-1"), round(rq.ends_at - now, 1)
+        txn, left = (message.header(b"x-txn") or b"").decode("latin-1"), round(rq.deadline - now, 1)
         self.early("req refused unread", now, txn=txn, age_ms=round(age, 1), left_ms=left, why=word.name)
-        return reply.full(self.facts)
+        return reply.full(self.settings)
 
     def run(self) -> None:
         sweeper = gevent.spawn(self.sweep)
@@ -371,7 +371,7 @@
 
     def full(self) -> reply.Reply:
         self.counters.add("reqs_full")
-        return reply.full(self.facts)
+        return reply.full(self.settings)
 
     def sweep(self) -> None:
         while True:
@@ -423,7 +423,7 @@
         for client in [c for c in self.clients if c.idle]:
             client.drop()
 
-    def req(self, message: head.Message, now: float) -> i.Req | reply.Reply:
+    def req(self, message: head.Message, now: float) -> i.Request | reply.Reply:
         """The req that a message asks for, or the answer to one that is not for the module."""
         path = message.target.partition(b"?")[0]
         if path == b"/-/ready":
@@ -440,19 +440,19 @@
         readable = remaining.isdigit() and len(remaining) < 10
         if unknown or not readable or not self.names(word) or not message.only(b"host"):
             return reply.unfit(400)
-        effect = self.told.facts.routes[route].effect
-        if effect == i.Effect.RETRIABLE and (message.method != b"GET" or message.body):
+        effect = self.told.facts.routes[route].retry_safety
+        if effect == i.RetrySafety.RETRIABLE and (message.method != b"GET" or message.body):
             return reply.unfit(400)
-        if effect == i.Effect.NON_RETRIABLE and message.method != b"POST":
+        if effect == i.RetrySafety.NON_RETRIABLE and message.method != b"POST":
             return reply.unfit(400)
         self.ident += 1
         repeat = message.header(b"x-resent") == b"1"
         within = float(remaining)
-        if self.facts is not self.told.facts:
+        if self.settings is not self.told.facts:
             within = min(
-                within, self.facts.routes[route].timeout_ms
+                within, self.settings.routes[route].timeout_ms
             )  # operators' own; a client's may be less
-        return i.Req(self.ident, route, tenant, None, now + within, 0.0, repeat)
+        return i.Request(self.ident, route, tenant, None, now + within, 0.0, repeat)
 
     @staticmethod
     def names(word: bytes) -> bool:
--- a/myrtleroad/net/ending.py
+++ b/myrtleroad/net/ending.py
@@ -44,18 +44,18 @@
         return next((v for n, v in self.headers if n.lower() == name), None)
 
 
-def of_try(result: Answer | Broken) -> i.End:
+def of_try(result: Answer | Broken) -> i.Outcome:
     """What a try's result says; only an ending of ``interface.NEVER_RAN`` says that it cannot have run."""
     if isinstance(result, Answer):
         if result.status == 200:
-            return i.End.COMPLETED
+            return i.Outcome.COMPLETED
         away = result.status in (503, 504) and result.header(b"x-turned-away") == b"1"
-        return i.End.FULL if away else i.End.ERRORED
+        return i.Outcome.FULL if away else i.Outcome.ERRORED
     if result.cause in (Cause.WITHDRAWN, Cause.OVERDUE, Cause.SHORT):
-        return i.End.MOOT  # not the machine's fault, and never written
+        return i.Outcome.MOOT  # not the machine's fault, and never written
     if result.reach < Reach.WRITTEN:
         # A machine begins a req once its last byte has arrived, and that byte was never written.
-        return i.End.NOT_CONNECTED
+        return i.Outcome.NOT_CONNECTED
     if result.cause == Cause.TIMEOUT:
-        return i.End.TIMEOUT
-    return i.End.CANCELLED if result.cause == Cause.CANCELLED else i.End.RESET
+        return i.Outcome.TIMEOUT
+    return i.Outcome.CANCELLED if result.cause == Cause.CANCELLED else i.Outcome.RESET
--- a/myrtleroad/net/machine.py
+++ b/myrtleroad/net/machine.py
@@ -58,7 +58,7 @@
 @dataclass(slots=True)
 class TryEnded:
     job: Job
-    end: i.End
+    end: i.Outcome
     took_ms: float
     result: Answer | Broken
     connected_at: float = float("inf")  # when its connection was made; inf where there was none
@@ -170,7 +170,7 @@
         except Exception:
             # Guards against a try that nobody has begun and nobody ends; the fault is told as any other.
             self.counters.add("tries_moot")
-            self.deliver(TryEnded(job, i.End.MOOT, self.clock() - job.sent, UNSENT))
+            self.deliver(TryEnded(job, i.Outcome.MOOT, self.clock() - job.sent, UNSENT))
             raise
 
     def take(self) -> Link | None:
--- a/myrtleroad/net/reply.py
+++ b/myrtleroad/net/reply.py
@@ -35,10 +35,10 @@
     return Reply("shed", 503, head, [])
 
 
-def full(facts: i.Facts) -> Reply:
+def full(settings: i.Settings) -> Reply:
     """To a req that waited too long and was sent nowhere. It may come back as late as may be told: this front
     is full, whatever the machines are."""
-    return shed(facts.max_come_back_ms if facts.come_back else 0.0)
+    return shed(settings.max_retry_after_ms if settings.retry_after_allowed else 0.0)
 
 
 def errored() -> Reply:
--- a/myrtleroad/net/roster.py
+++ b/myrtleroad/net/roster.py
@@ -22,12 +22,16 @@
 SIGN_MS = 2000.0  # an empty line comes so often while nothing changes (protocol)
 FETCH_S = 2.5  # for a whole list asked for by itself: a service in a queue takes as long
 BEGINS = b'"generation"'  # a key of every list and of no entry
-RANKS = {i.Status.IN_SERVICE: Rank.OPEN, i.Status.DRAINING: Rank.CLOSING, i.Status.GONE: Rank.AWAY}
+RANKS = {
+    i.ServerStatus.IN_SERVICE: Rank.OPEN,
+    i.ServerStatus.DRAINING: Rank.CLOSING,
+    i.ServerStatus.GONE: Rank.AWAY,
+}
 
 
 def manner(told: Told, sign_ms: float) -> Manner:
-    rules = told.facts.rules
-    most = rules.ask_every_ms or float("inf")
+    rules = told.facts.server_rules
+    most = rules.max_poll_interval_ms or float("inf")
     return Manner(told.facts.balancers, rules.drain_grace_ms, sign_ms, most)
 
 
@@ -42,7 +46,7 @@
 
 
 def same(a: Entry, b: Entry) -> bool:
-    return (a.row.build, a.row.started) == (b.row.build, b.row.started)
+    return (a.row.build, a.row.started_at) == (b.row.build, b.row.started_at)
 
 
 class Fetched:
@@ -84,7 +88,7 @@
         if whole is None:
             return
         said = self.said(whole, self.sources[stream.number])
-        watched = stream.told and self.following.sight is i.Sight.FRESH
+        watched = stream.told and self.following.sight is i.ListFreshness.FRESH
         change = self.book.take(said, self.following.sole(stream.number))
         if said.source == self.book.source:
             self.told(stream, version=said.version, entries=len(said.entries))
@@ -103,7 +107,7 @@
 
     def seen(self, act: Seen) -> None:
         super().seen(act)
-        self.deliver(i.Sighted(act.sight, act.since))
+        self.deliver(i.ListFreshnessChanged(act.sight, act.since))
 
     def apply(self, change: Change[Entry] | None, watched: bool = False) -> None:
         """What a list changes goes to the module; a whole list is asked for where one is wanted."""
--- a/myrtleroad/net/told.py
+++ b/myrtleroad/net/told.py
@@ -16,15 +16,15 @@
 
 Address = tuple[str, int]
 PHASES = {
-    "trial": i.Phase.ON_TRIAL,
-    "rolling_back": i.Phase.GOING_BACK,
-    "released": i.Phase.RELEASED,
-    "withdrawn": i.Phase.WITHDRAWN,
+    "trial": i.RolloutPhase.ON_TRIAL,
+    "rolling_back": i.RolloutPhase.GOING_BACK,
+    "released": i.RolloutPhase.RELEASED,
+    "withdrawn": i.RolloutPhase.WITHDRAWN,
 }
 STATUSES = {
-    "in_service": i.Status.IN_SERVICE,
-    "terminating": i.Status.DRAINING,
-    "terminated": i.Status.GONE,
+    "in_service": i.ServerStatus.IN_SERVICE,
+    "terminating": i.ServerStatus.DRAINING,
+    "terminated": i.ServerStatus.GONE,
 }
 
 
@@ -41,10 +41,10 @@
 
     word: str
     address: Address
-    row: i.Row
+    row: i.ServerEntry
 
     def draining(self) -> "Entry":
-        return Entry(self.word, self.address, replace(self.row, status=i.Status.DRAINING))
+        return Entry(self.word, self.address, replace(self.row, status=i.ServerStatus.DRAINING))
 
 
 @dataclass(slots=True)
@@ -70,8 +70,8 @@
     platform: Address
     seed: int
     sockets: int
-    facts: i.Facts
-    news: i.StageNews
+    facts: i.Settings
+    news: i.StageUpdate
     known: Listing
     routes: dict[bytes, int]
     tenants: dict[bytes, int]
@@ -94,9 +94,9 @@
                 name.decode(): t.quota_per_s for name, t in zip(self.tenants, self.facts.tenants, strict=True)
             },
             zones=tuple(self.zones),
-            most_tries=self.facts.max_tries,
-            caps=self.facts.rollout.caps,
-            cap=self.news.cap if cap is None and self.news.phase == i.Phase.ON_TRIAL else cap,
+            most_tries=self.facts.max_attempts,
+            caps=self.facts.rollout.stage_caps,
+            cap=self.news.cap if cap is None and self.news.phase == i.RolloutPhase.ON_TRIAL else cap,
             control=control,
         )
 
@@ -132,15 +132,15 @@
     return Entry(
         word=str(e["instanceId"]),
         address=address(e["hostPort"]),
-        row=i.Row(
-            machine=-1,
+        row=i.ServerEntry(
+            server=-1,
             status=STATUSES[e["lifecycle"]],
             build=count(e.get("version_no") or 0),
             zone=zones.get(e.get("zone"), 0),
             cell=int(e.get("cell") or 0),
-            kind=kinds.get(e.get("machineType"), 0),
+            server_type=kinds.get(e.get("machineType"), 0),
             weight=figure(e.get("weight", 1.0)),
-            started=figure(e.get("startedAtMs") or 0),
+            started_at=figure(e.get("startedAtMs") or 0),
         ),
     )
 
@@ -171,16 +171,16 @@
     return Listing(count(m["generation"]), kind, [entry(e, zones, kinds) for e in m["instances"]])
 
 
-def stage_news(fields: dict[str, Any], answers_vote: bool = False) -> i.StageNews:
+def stage_news(fields: dict[str, Any], answers_vote: bool = False) -> i.StageUpdate:
     """The state of the newest build, from the start's news, the bulletin or the answer to a vote."""
-    return i.StageNews(
-        end=i.End.COMPLETED,
+    return i.StageUpdate(
+        outcome=i.Outcome.COMPLETED,
         answers_vote=answers_vote,
         build=count(fields["Revision"]),
         stage=count(fields["Wave"]),
         phase=PHASES[fields["State"]],
         cap=figure(fields["MaxShare"], 1.0),
-        age_ms=figure(fields["AgeMs"]),
+        stage_age_ms=figure(fields["AgeMs"]),
     )
 
 
--- a/myrtleroad/net/versions.py
+++ b/myrtleroad/net/versions.py
@@ -67,7 +67,7 @@
         self.ledger = Ledger()
         self.contents = {self.ledger.force.name: EMPTY}  # of the one in force and the last good one
         self.found = version.Version()  # the one that is being applied
-        manner = Manner(told.facts.balancers, told.facts.rules.drain_grace_ms, ALIVE_S * 1000)
+        manner = Manner(told.facts.balancers, told.facts.server_rules.drain_grace_ms, ALIVE_S * 1000)
         self.asking = Asking(manner, Random(told.seed + 2).random)
         self.stream = 0  # the newest, of the address that holds now
         self.socks: dict[int, socket.socket] = {}  # of the newest, and of one that a move has left behind
--- a/myrtleroad/policy/state.py
+++ b/myrtleroad/policy/state.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    row: i.Row
+    row: i.ServerEntry
     luck: float = 0.0  # drawn anew each window: which fronts may send a cold machine the last part of a try
     luck_until: float = -1e9
     out: dict[tuple[int, int], Attempt] = field(default_factory=dict)  # emptied by each try's one ending
--- a/myrtleroad/policy/trial.py
+++ b/myrtleroad/policy/trial.py
@@ -44,17 +44,21 @@
     YOUNG = 3000.0  # machines started later than this ago count on neither side (design)
     KEEP = 1000  # samples a side: some ten seconds of a busy front, and bounds the work of a test
 
-    def __init__(self, facts: i.Facts):
-        self.need = need = max(1, min(facts.rollout.back_votes, facts.balancers))
-        self.alpha = float(bdtri(need - 1, facts.balancers, 0.95))  # so many of all err with chance 0.05
+    def __init__(self, settings: i.Settings):
+        self.need = need = max(1, min(settings.rollout.votes_to_roll_back, settings.balancers))
+        self.alpha = float(bdtri(need - 1, settings.balancers, 0.95))  # so many of all err with chance 0.05
         self.floor, self.short = max(self.HINT, -(-self.FLOOR // need)), True
         # Where the earlier machines go as a stage begins, a bad one costs more than the wait for samples.
-        self.patient = need > 1 and facts.rollout.in_place
-        self.stage_age = facts.rollout.soak_ms + 1000.0  # about when the platform's clock starts (bench page)
+        self.patient = need > 1 and settings.rollout.replaces_in_place
+        self.stage_age = (
+            settings.rollout.stage_soak_ms + 1000.0
+        )  # about when the platform's clock starts (bench page)
         self.earlier, self.trial = (deque(maxlen=self.KEEP) for _ in range(2))
-        self.pre: list[deque[float]] = [deque(maxlen=100) for _ in facts.routes]
-        self.last, self.told = len(facts.rollout.caps) - 1, False
-        self.counts = np.zeros((3, len(facts.routes), 3))  # trial, earlier, before; route; tries, errors, ms
+        self.pre: list[deque[float]] = [deque(maxlen=100) for _ in settings.routes]
+        self.last, self.told = len(settings.rollout.stage_caps) - 1, False
+        self.counts = np.zeros(
+            (3, len(settings.routes), 3)
+        )  # trial, earlier, before; route; tries, errors, ms
         self.offer(-1)
 
     def offer(self, build: int) -> None:
@@ -72,9 +76,9 @@
         if not on_trial:
             self.pre[route].append(score)
 
-    def count(self, t: i.Tally) -> None:
+    def count(self, t: i.AttemptCounts) -> None:
         row = self.counts[0 if t.build >= self.build > 0 else 1, t.route]
-        row[:] = 0.5 * row + (t.count, t.errors, (t.count - t.errors) * t.mean_ms)
+        row[:] = 0.5 * row + (t.attempts, t.errors, (t.attempts - t.errors) * t.mean_duration_ms)
         self.told = True
 
     def counted(self, released: bool) -> float:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,57 +12,59 @@
 
 def build_facts(**changes):
     roll = dict(
-        gate=i.Gate.COUNT,
-        on_votes=1,
-        back_votes=1,
-        vote_life_ms=6000.0,
-        answer_wait_ms=2000.0,
-        calls_per_s=10.0,
-        soak_ms=1000.0,
-        caps=(0.1, 0.5, 1.0),
-        span_ms=2000.0,
-        free=1.0,
-        by_route=False,
-        guarded_stages=0,
-        no_return=False,
-        counts_every_ms=2000.0,
+        vote_mode=i.VoteMode.COUNT,
+        votes_to_advance=1,
+        votes_to_roll_back=1,
+        vote_lifetime_ms=6000.0,
+        vote_timeout_ms=2000.0,
+        max_calls_per_s=10.0,
+        stage_soak_ms=1000.0,
+        stage_caps=(0.1, 0.5, 1.0),
+        exposure_window_ms=2000.0,
+        free_attempts=1.0,
+        cap_per_route=False,
+        retriable_only_stages=0,
+        forbids_downgrade=False,
+        counts_interval_ms=2000.0,
     )
     roll.update(changes.pop("roll", {}))
     values = dict(
         balancers=1,
         zone=0,
         routes=(
-            i.Route(i.Effect.RETRIABLE, i.Group.ALL, 0.0, 800.0, 2000.0, 2.0, 0.0),
-            i.Route(i.Effect.DEDUPED, i.Group.ZONE, 2500.0, 800.0, 2000.0, 5.0, 0.0),
-            i.Route(i.Effect.NON_RETRIABLE, i.Group.ALL, 0.0, 800.0, 2000.0, 5.0, 0.0),
+            i.Route(i.RetrySafety.RETRIABLE, i.DedupScope.ALL, 0.0, 800.0, 2000.0, 2.0, 0.0),
+            i.Route(i.RetrySafety.DEDUPED, i.DedupScope.ZONE, 2500.0, 800.0, 2000.0, 5.0, 0.0),
+            i.Route(i.RetrySafety.NON_RETRIABLE, i.DedupScope.ALL, 0.0, 800.0, 2000.0, 5.0, 0.0),
         ),
         tenants=(),
         over_share_benefit=1.0,
         benefit_by_work=False,
-        rules=i.Rules(250.0, 4000.0, 0.3, 2.0, 2000.0, 10000.0),
+        server_rules=i.ServerRules(250.0, 4000.0, 0.3, 2.0, 2000.0, 10000.0),
         rollout=i.Rollout(**roll),
         list_on_request=True,
-        max_tries=3,
-        second_copies=True,
-        come_back=True,
-        max_come_back_ms=400.0,
-        weights_mean_size=False,
+        max_attempts=3,
+        hedging_allowed=True,
+        retry_after_allowed=True,
+        max_retry_after_ms=400.0,
+        weights_are_capacity=False,
         load_column=None,
     )
     values.update(changes)
-    return i.Facts(**values)
+    return i.Settings(**values)
 
 
-def row(machine, build=1, zone=0, started=0.0, status=i.Status.IN_SERVICE):
-    return i.Row(machine, status, build, zone, 0, 0, 1.0, started)
+def row(machine, build=1, zone=0, started=0.0, status=i.ServerStatus.IN_SERVICE):
+    return i.ServerEntry(machine, status, build, zone, 0, 0, 1.0, started)
 
 
 def req(ident=1, route=0, ends_at=2000.0, key=None):
-    return i.Req(ident, route, None, key, ends_at, 0.0, False)
+    return i.Request(ident, route, None, key, ends_at, 0.0, False)
 
 
-def news(build=1, stage=0, phase=i.Phase.RELEASED, cap=0.0, age=0.0, end=i.End.COMPLETED, answers=False):
-    return i.StageNews(end, answers, build, stage, phase, cap, age)
+def news(
+    build=1, stage=0, phase=i.RolloutPhase.RELEASED, cap=0.0, age=0.0, end=i.Outcome.COMPLETED, answers=False
+):
+    return i.StageUpdate(end, answers, build, stage, phase, cap, age)
 
 
 @pytest.fixture
@@ -70,7 +72,7 @@
     """A balancer at time 0 with three machines of build 1, released."""
     b = Balancer(build_facts(), 7, 0.0)
     b.stage_news(news(), 0.0)
-    b.listed(i.Listed(i.ListKind.WHOLE, [row(0), row(1), row(2, zone=1)]), 0.0)
+    b.listed(i.ServerListUpdate(i.ListKind.WHOLE, [row(0), row(1), row(2, zone=1)]), 0.0)
     return b
 
 
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -13,13 +13,13 @@
 from myrtleroad.net.ending import Answer, Broken, Cause, Reach
 
 ENDS = {
-    i.End.COMPLETED: Answer(200, [], [b"hi"]),
-    i.End.ERRORED: Answer(500),
-    i.End.FULL: Answer(503, [(b"X-Turned-Away", b"1")]),
-    i.End.TIMEOUT: Broken(Reach.WRITTEN, Cause.TIMEOUT),
-    i.End.RESET: Broken(Reach.WRITTEN, Cause.ENDED),
-    i.End.NOT_CONNECTED: Broken(Reach.NOT_CONNECTED, Cause.REFUSED),
-    i.End.MOOT: Broken(Reach.CONNECTED, Cause.WITHDRAWN),
+    i.Outcome.COMPLETED: Answer(200, [], [b"hi"]),
+    i.Outcome.ERRORED: Answer(500),
+    i.Outcome.FULL: Answer(503, [(b"X-Turned-Away", b"1")]),
+    i.Outcome.TIMEOUT: Broken(Reach.WRITTEN, Cause.TIMEOUT),
+    i.Outcome.RESET: Broken(Reach.WRITTEN, Cause.ENDED),
+    i.Outcome.NOT_CONNECTED: Broken(Reach.NOT_CONNECTED, Cause.REFUSED),
+    i.Outcome.MOOT: Broken(Reach.CONNECTED, Cause.WITHDRAWN),
 }
 
 
@@ -52,9 +52,9 @@
     def arrive(self, route, within, age):
         self.number += 1
         ident = self.number
-        rq = i.Req(ident, route, 0, None, self.now - age + within, 0.0, False)
+        rq = i.Request(ident, route, 0, None, self.now - age + within, 0.0, False)
         message = brain.Message(b"GET", b"/api", fields={b"x-txn": b"%d" % ident})
-        self.ends_at[ident], self.answers[ident] = rq.ends_at, []
+        self.ends_at[ident], self.answers[ident] = rq.deadline, []
 
         def answer(final):
             self.answers[ident].append((final, self.now))
@@ -74,7 +74,7 @@
         if not self.out:
             return
         job = self.out.pop(which % len(self.out))
-        if end not in i.NEVER_RAN:
+        if end not in i.NOT_EXECUTED:
             self.ran[job.ident] = True
         if fault:
             self.b.load = lambda message: 1 / 0
@@ -86,7 +86,7 @@
 
     @rule(ident=reqs)
     def leave(self, ident):
-        if all(message.rq.ident != ident for message in self.waiting):
+        if all(message.rq.id != ident for message in self.waiting):
             self.left.add(ident)
             self.b.handle(brain.Gone(ident))
 
@@ -106,7 +106,7 @@
     def none_is_left_open_past_its_time(self):
         if self.now >= self.b.look_at - brain.SLACK_MS:
             looked = self.b.look_at - brain.SLACK_MS
-            assert all(x.taken.rq.ends_at + brain.SLACK_MS >= looked for x in self.b.open.values())
+            assert all(x.taken.rq.deadline + brain.SLACK_MS >= looked for x in self.b.open.values())
 
     def teardown(self):
         self.work(len(self.waiting))
@@ -116,7 +116,7 @@
             assert len(got) == 1 or ident in self.left, ident
         assert not self.b.open
         for job in self.out:
-            self.b.end(machine.TryEnded(job, i.End.RESET, 1.0, ENDS[i.End.RESET]))
+            self.b.end(machine.TryEnded(job, i.Outcome.RESET, 1.0, ENDS[i.Outcome.RESET]))
         self.b.settle()
         assert not self.b.ids  # nothing grows with reqs
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -22,7 +22,7 @@
     """Reqs that wait to be taken."""
     for x in range(n):
         message = brain.Message(b"GET", b"/api", fields={b"x-txn": b"w%d" % x})
-        rq = i.Req(x + 10, 0, 0, None, b.clock() + 5000.0, 0.0, False)
+        rq = i.Request(x + 10, 0, 0, None, b.clock() + 5000.0, 0.0, False)
         b.mailbox.put(brain.Taken(rq, message, b.clock(), lambda final: None))
 
 
@@ -34,7 +34,7 @@
     flood(b, 5000)
     runs = gevent.spawn(b.run)
     # What the try's greenlet does as its answer comes, while the actor works its mailbox off.
-    b.end(machine.TryEnded(job, i.End.COMPLETED, 5.0, Answer(200, [], [b"hi"])))
+    b.end(machine.TryEnded(job, i.Outcome.COMPLETED, 5.0, Answer(200, [], [b"hi"])))
     while not answers:
         gevent.sleep(0)
     taken_by_then = b.counters.counts["reqs_taken"]
@@ -50,7 +50,7 @@
     m.mailbox.put(machine.Go(job))
     with pytest.raises(ZeroDivisionError):
         m.run()
-    assert [(x.job, x.end) for x in got] == [(job, i.End.MOOT)] and not m.out
+    assert [(x.job, x.end) for x in got] == [(job, i.Outcome.MOOT)] and not m.out
 
 
 def test_a_fault_while_a_req_is_read_is_told_to_its_client(monkeypatch):
@@ -104,7 +104,7 @@
     held_loop(d, [kept, fresh], 100.0)
     for _ in range(2):
         message = waiting.get()
-        assert before + 480 <= message.rq.ends_at + 6.0 and message.rq.ends_at <= before + 480 + 20.0
+        assert before + 480 <= message.rq.deadline + 6.0 and message.rq.deadline <= before + 480 + 20.0
         assert message.age >= 90.0
 
 
@@ -120,7 +120,7 @@
     code, head, _ = status(short)
     assert code == 503 and b"Retry-After: 0.500" in head
     assert lines == [("req refused unread", "2", "OVER")]
-    assert waiting.get().rq.ident and waiting.empty()  # the other one had time left
+    assert waiting.get().rq.id and waiting.empty()  # the other one had time left
 
 
 def test_a_hundred_reqs_beyond_all_descriptors_are_refused_at_once_and_those_held_answered():
@@ -163,13 +163,13 @@
     assert {job.machine for job in forbidden} == {job.machine for job in jobs if job.machine < 150}
     for job in jobs:
         if job in forbidden:
-            ends(b, job, machine.UNSENT, i.End.MOOT)
+            ends(b, job, machine.UNSENT, i.Outcome.MOOT)
         else:
-            ends(b, job, Answer(200, [], [b"hi"]), i.End.COMPLETED)
+            ends(b, job, Answer(200, [], [b"hi"]), i.Outcome.COMPLETED)
     again = handed(b)
     assert len(again) == len(forbidden) and all(job.machine >= 150 for job in again)
     for job in again:
-        ends(b, job, Answer(200, [], [b"hi"]), i.End.COMPLETED)
+        ends(b, job, Answer(200, [], [b"hi"]), i.Outcome.COMPLETED)
     assert all([a.status for a in got] == [200] for got in answers) and balanced(b)
     b.tell(listing(told | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0}))
     b.hear()  # those that had tries out go with the next list
--- a/tests/test_answers_faults.py
+++ b/tests/test_answers_faults.py
@@ -26,7 +26,7 @@
     assert [a.status for a in answers] == [502] and not others
     assert b.counters.counts["reqs_expired"] == 1 and balanced(b)
     late, _ = sent(b)
-    ends(b, late, Answer(200, [], [b"late"]), i.End.COMPLETED)
+    ends(b, late, Answer(200, [], [b"late"]), i.Outcome.COMPLETED)
     assert len(answers) == 1 and balanced(b)
 
 
@@ -43,13 +43,13 @@
     assert turns > 10
 
 
-@pytest.mark.parametrize("end", [i.End.COMPLETED, i.End.RESET])
+@pytest.mark.parametrize("end", [i.Outcome.COMPLETED, i.Outcome.RESET])
 def test_a_fault_at_an_ending_answers_its_req_at_once_and_no_other(monkeypatch, end):
     b = build_brain(listed("s-1", AT))
     answers, others = taken(b, 1), taken(b, 2)
     job, _ = sent(b)
     monkeypatch.setattr(b, "load", lambda message: 1 / 0)
-    result = Answer(200) if end == i.End.COMPLETED else Broken(Reach.WRITTEN, Cause.ENDED)
+    result = Answer(200) if end == i.Outcome.COMPLETED else Broken(Reach.WRITTEN, Cause.ENDED)
     b.ends.append(machine.TryEnded(job, end, 5.0, result))
     b.settle()
     assert [a.status for a in answers] == [502] and not others
@@ -60,7 +60,10 @@
     b = build_brain(listed("s-1", AT))
     monkeypatch.setattr(b, "late_by", lambda *args: 1 / 0)
     answers = []
-    rq, message = i.Req(1, 0, 0, None, b.clock() + 900.0, 0.0, False), brain.Message(fields={b"x-txn": b"1"})
+    rq, message = (
+        i.Request(1, 0, 0, None, b.clock() + 900.0, 0.0, False),
+        brain.Message(fields={b"x-txn": b"1"}),
+    )
     b.handle(brain.Taken(rq, message, b.clock(), answers.append))
     assert [a.status for a in answers] == [502] and not b.open
 
@@ -124,7 +127,10 @@
 def test_a_req_that_waited_in_our_own_mailbox_is_refused_before_the_module_sees_it(monkeypatch):
     b = build_brain(listed("s-1", AT))
     answers = []
-    rq, message = i.Req(1, 0, 0, None, b.clock() + 30.0, 0.0, False), brain.Message(fields={b"x-txn": b"1"})
+    rq, message = (
+        i.Request(1, 0, 0, None, b.clock() + 30.0, 0.0, False),
+        brain.Message(fields={b"x-txn": b"1"}),
+    )
     b.handle(brain.Taken(rq, message, b.clock() - 40.0, answers.append, 20.0))
     assert not answers  # it has time left, and one wait is no standing queue
     b.entry.above_since = b.clock() - 1000.0
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -9,36 +9,38 @@
 
 def test_row_and_req_keep_fractions_of_a_millisecond():
     e = {"nominal": 1.5, "hw": 1, "release": 4, "area": 1, "boot_time": 6_100_500_000, "machine": "m.a"}
-    assert codec.row(e, 3) == i.Row(3, i.Status.IN_SERVICE, 4, 1, 0, 1, 1.5, 6100.5)
+    assert codec.row(e, 3) == i.ServerEntry(3, i.ServerStatus.IN_SERVICE, 4, 1, 0, 1, 1.5, 6100.5)
     rq = codec.req({"job": 9, "service": 1, "grace": 2_500_000, "affinity": "k"}, 1.0)
-    assert rq == i.Req(9, 1, None, "k", 3.5, 0.0, False)
+    assert rq == i.Request(9, 1, None, "k", 3.5, 0.0, False)
 
 
 def test_outcome_and_stage_news():
     m = {"job": 1, "machine": "m.a", "cost_time": 1_500_000, "how": 3, "seq_no": 2, "usage": {"active": 7}}
-    assert codec.ended(m, 5) == i.Ended(5, 2, i.End.FULL, 1.5, 7, False)
+    assert codec.ended(m, 5) == i.AttemptEnded(5, 2, i.Outcome.FULL, 1.5, 7, False)
     m = {"build_no": 42, "wave": 2, "where_at": 1, "reason": 1, "how": 1, "ceiling": 0.25, "old": 1_000_000}
-    assert codec.stage_news(m) == i.StageNews(i.End.COMPLETED, True, 42, 2, i.Phase.GOING_BACK, 0.25, 1.0)
+    assert codec.stage_news(m) == i.StageUpdate(
+        i.Outcome.COMPLETED, True, 42, 2, i.RolloutPhase.GOING_BACK, 0.25, 1.0
+    )
 
 
 def test_tally_flag_and_probe():
     m = {"build_no": 2, "service": 1, "n": 5, "errors": 2, "cost_time": 1_000_000, "old": 2_000_000}
-    assert codec.tally(m) == i.Tally(2, 1, 5, 2, 1.0, 2.0)
-    assert codec.flagged({"old": 1_000_000, "service": 1}, 4) == i.Flagged(4, 1, 1.0)
-    assert codec.probed({"how": 4, "cost_time": 500_000}, 4) == i.Probed(4, i.End.TIMEOUT, 0.5, None)
+    assert codec.tally(m) == i.AttemptCounts(2, 1, 5, 2, 1.0, 2.0)
+    assert codec.flagged({"old": 1_000_000, "service": 1}, 4) == i.BadResponseReported(4, 1, 1.0)
+    assert codec.probed({"how": 4, "cost_time": 500_000}, 4) == i.ProbeEnded(4, i.Outcome.TIMEOUT, 0.5, None)
 
 
 @pytest.mark.parametrize(
     "act, wire",
     [
-        (i.Send(0, 1.5), {"cmd": "ATTEMPT", "job": 8, "within": 1_500_000, "machine": "m.a"}),
-        (i.Cancel(2), {"cmd": "WITHDRAW", "job": 8, "seq_no": 2}),
+        (i.SendAttempt(0, 1.5), {"cmd": "ATTEMPT", "job": 8, "within": 1_500_000, "machine": "m.a"}),
+        (i.CancelAttempt(2), {"cmd": "WITHDRAW", "job": 8, "seq_no": 2}),
         (i.Shed(0.5), {"cmd": "BOUNCE", "job": 8, "pause": 500_000}),
         (i.Fail(), {"cmd": "ERROR", "job": 8}),
         (i.Vote(3, i.Verdict.BACK, 1), {"cmd": "OPINION", "build_no": 3, "reason": 3, "wave": 1}),
         (i.WakeAt(2.0), {"cmd": "SCHEDULE", "due_at": 2_000_000, "cookie": 0}),
-        (i.Probe(0), {"cmd": "SAMPLE", "machine": "m.a"}),
-        (i.Tell(-1, b"hi"), {"cmd": "SIGNAL", "neighbour_id": -1, "raw": "6869"}),
+        (i.ProbeServer(0), {"cmd": "SAMPLE", "machine": "m.a"}),
+        (i.SendToPeer(-1, b"hi"), {"cmd": "SIGNAL", "neighbour_id": -1, "raw": "6869"}),
     ],
 )
 def test_actions(act, wire):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -307,9 +307,9 @@
     )
     bounds = rules.effective(v.entries, told.bounds())
     got = narrow(told.facts, bounds, ["look", "book"], ["acme"])
-    look, book = got.facts.routes
-    assert (look.timeout_ms, look.objective_ms, look.most_tries) == (900.0, 800.0, 1)
-    assert (book.timeout_ms, book.most_tries, got.trial_share) == (2000.0, 3, 0.05)
+    look, book = got.settings.routes
+    assert (look.timeout_ms, look.objective_ms, look.max_attempts) == (900.0, 800.0, 1)
+    assert (book.timeout_ms, book.max_attempts, got.max_trial_share) == (2000.0, 3, 0.05)
     wide = version.read(b'version 1\nroutes { route "look" timeout=(s)90 most-tries=99 }')
     got = narrow(told.facts, rules.effective(wide.entries, told.bounds()), ["look", "book"], ["acme"])
-    assert got.facts.routes[0].timeout_ms == 2000.0 and got.facts.routes[0].most_tries == 3
+    assert got.settings.routes[0].timeout_ms == 2000.0 and got.settings.routes[0].max_attempts == 3
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -36,8 +36,8 @@
     before = d.clock()
     client(d).sendall(GOOD.replace(b"\r\n\r\n", b"\r\nX-Resent: 1\r\n\r\n"))
     rq = taken.get().rq
-    assert (rq.route, rq.tenant, rq.key, rq.repeat) == (0, 0, None, True)
-    assert before + 480 <= rq.ends_at <= d.clock() + 480
+    assert (rq.route, rq.tenant, rq.dedup_key, rq.is_repeat) == (0, 0, None, True)
+    assert before + 480 <= rq.deadline <= d.clock() + 480
 
 
 def test_answers_keep_the_connection_and_the_body():
@@ -103,7 +103,7 @@
     d, taken = build_door()
     sock = client(d)
     sock.sendall(GOOD)
-    ident = taken.get().rq.ident
+    ident = taken.get().rq.id
     sock.close()
     assert taken.get() == Gone(ident)
     assert not d.clients
@@ -159,7 +159,7 @@
     d, taken = build_door()
     sock = client(d)
     sock.sendall(GOOD * 2)
-    ident = taken.get().rq.ident
+    ident = taken.get().rq.id
     sock.close()
     assert taken.get() == Gone(ident) and not d.clients
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -36,7 +36,7 @@
 
 def taken(b, ident=1, route=0, within=1000.0, word=None):
     answers = []
-    rq = i.Req(ident, route, 0, None, b.clock() + within, 0.0, False)
+    rq = i.Request(ident, route, 0, None, b.clock() + within, 0.0, False)
     message = Message(b"GET", b"/api", fields={b"x-txn": word or b"a%d" % ident})
     b.take(brain.Taken(rq, message, b.clock(), answers.append), b.clock())
     return answers
@@ -65,7 +65,7 @@
     answers = taken(b)
     (job,) = sent(b)
     assert not answers and balanced(b)
-    ends(b, job, Answer(200, [], [b"hi"]), i.End.COMPLETED)
+    ends(b, job, Answer(200, [], [b"hi"]), i.Outcome.COMPLETED)
     assert [(a.status, a.body) for a in answers] == [(200, [b"hi"])]
     assert not b.open and balanced(b)
 
@@ -74,7 +74,7 @@
     b = build_brain(listed("s-1", AT))
     taken(b)
     (first,) = sent(b)
-    ends(b, first, Broken(Reach.NOT_CONNECTED, Cause.REFUSED), i.End.NOT_CONNECTED)
+    ends(b, first, Broken(Reach.NOT_CONNECTED, Cause.REFUSED), i.Outcome.NOT_CONNECTED)
     (second,) = sent(b)
     assert (first.try_no, second.try_no) == (0, 1)
     assert second.ends_at <= first.ends_at + 1
@@ -88,7 +88,7 @@
     assert balanced(b) and not b.open
     (known,) = b.balancer.machines.values()
     assert known.out
-    ends(b, job, Answer(200, [], [b"late"]), i.End.COMPLETED)
+    ends(b, job, Answer(200, [], [b"late"]), i.Outcome.COMPLETED)
     assert not answers and not known.out and balanced(b)
 
 
@@ -110,14 +110,14 @@
 
 def test_patience_resumes_the_req_and_a_void_timer_does_not(monkeypatch):
     def waits(rq, now):
-        got = yield i.Send(0, 900.0, 50.0)
+        got = yield i.SendAttempt(0, 900.0, 50.0)
         yield i.Shed(float(got[1] is None))
 
     b = build_brain(listed("s-1", AT))
     monkeypatch.setattr(b.balancer, "serve", waits)
     early, late = taken(b, 1), taken(b, 2)
     (job, _) = sent(b)
-    ends(b, job, Broken(Reach.WRITTEN, Cause.ENDED), i.End.RESET)
+    ends(b, job, Broken(Reach.WRITTEN, Cause.ENDED), i.Outcome.RESET)
     b.ring(b.clock() + 60)
     assert [a.head for a in early] == [[]] and [a.head for a in late] == [[b"Retry-After: 0.001\r\n"]]
 
@@ -136,12 +136,12 @@
 
 def test_a_cap_that_fell_before_the_write_forbids_it():
     b = build_brain(listed("s-1", AT, version_no=2))
-    news = i.StageNews(i.End.COMPLETED, False, 2, 0, i.Phase.ON_TRIAL, 1.0, 0.0)
+    news = i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.ON_TRIAL, 1.0, 0.0)
     b.take(news, b.clock())
     taken(b)
     (job,) = sent(b)
     assert b.stands(job)
-    b.take(i.StageNews(i.End.COMPLETED, False, 2, 0, i.Phase.GOING_BACK, 0.0, 0.0), b.clock())
+    b.take(i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.GOING_BACK, 0.0, 0.0), b.clock())
     assert not b.stands(job)
 
 
@@ -208,7 +208,7 @@
     (job,) = sent(b)
     b.take(brain.Gone(1), b.clock())
     assert [a.status for a in taken(b, 3, word=b"same")] == [409] and not first  # its try may still run
-    ends(b, job, Answer(200, [], [b"late"]), i.End.COMPLETED)
+    ends(b, job, Answer(200, [], [b"late"]), i.Outcome.COMPLETED)
     assert not b.ids and taken(b, 4, word=b"same") == [] and len(sent(b)) == 1
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -144,7 +144,7 @@
 
 def tell(judge, build, errors, mean=100.0):
     for route, wrong in enumerate(errors):
-        judge.count(i.Tally(build, route, 40, wrong, mean, 500.0))
+        judge.count(i.AttemptCounts(build, route, 40, wrong, mean, 500.0))
 
 
 @pytest.fixture
@@ -212,7 +212,7 @@
 
 def many(trial, earlier=30, slow=900.0):
     """The judge of one of 200 fronts, 16 of which send a build back, with so many samples."""
-    judge = TrialTest(build_facts(balancers=200, roll={"back_votes": 16, "in_place": True}))
+    judge = TrialTest(build_facts(balancers=200, roll={"votes_to_roll_back": 16, "replaces_in_place": True}))
     judge.offer(2)
     for n in range(earlier):
         give(judge, 1, 100.0 + 3 * (n % 20), n)
--- a/tests/test_lists_first.py
+++ b/tests/test_lists_first.py
@@ -230,7 +230,7 @@
     gevent.sleep(0.02)
     h.ask()
     met, _ = h.answered()
-    assert met[0] == 0 and met[1] > 0 and h.front.roster.following.sight == i.Sight.FRESH
+    assert met[0] == 0 and met[1] > 0 and h.front.roster.following.sight == i.ListFreshness.FRESH
 
 
 def test_a_loop_held_for_300_ms_takes_no_silence_for_the_other_sides(held):
@@ -340,7 +340,7 @@
     gevent.sleep(0.001)
     answers = []
     for n in range(1000):
-        rq = i.Req(n, 0, 0, None, b.clock() + 1000.0, 0.0, False)
+        rq = i.Request(n, 0, 0, None, b.clock() + 1000.0, 0.0, False)
         b.mailbox.put(brain.Taken(rq, Message(fields={b"x-txn": b"%d" % n}), b.clock(), answers.append))
     m = {
         "generation": 8,
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -48,7 +48,7 @@
     actor, ended = build_machine(peer.at)
     for ident in (1, 2):
         got = tried(actor, ended, ident=ident)
-        assert got.end == i.End.COMPLETED and b"".join(got.result.body) == b"hi"
+        assert got.end == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
         gevent.sleep(0)
     assert peer.met == 1
 
@@ -59,13 +59,13 @@
         read_req(sock)
         sock.sendall(OK[:cut])
 
-    assert tried(*build_machine(Peer(talk).at)).end == i.End.RESET
+    assert tried(*build_machine(Peer(talk).at)).end == i.Outcome.RESET
 
 
 def test_a_refused_connection_never_ran():
     peer = Peer()
     peer.sock.close()
-    assert tried(*build_machine(peer.at)).end == i.End.NOT_CONNECTED
+    assert tried(*build_machine(peer.at)).end == i.Outcome.NOT_CONNECTED
 
 
 def test_a_descriptor_that_we_lack_is_not_the_machines_fault(monkeypatch):
@@ -74,7 +74,7 @@
 
     actor, ended = build_machine(Peer(answering(OK)).at)
     monkeypatch.setattr(machine.socket, "socket", none_left)
-    assert tried(actor, ended).end == i.End.MOOT
+    assert tried(actor, ended).end == i.Outcome.MOOT
 
 
 def test_a_second_copy_right_behind_is_nobodys_answer():
@@ -82,7 +82,7 @@
     actor, ended = build_machine(peer.at)
     for ident in (1, 2):
         got = tried(actor, ended, ident=ident)
-        assert got.end == i.End.COMPLETED and b"".join(got.result.body) == b"hi"
+        assert got.end == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
         gevent.sleep(0)
     assert peer.met == 2
 
@@ -97,10 +97,10 @@
 
     peer = Peer(first, answering(OK))
     actor, ended = build_machine(peer.at)
-    assert tried(actor, ended, within=30.0).end == i.End.TIMEOUT
+    assert tried(actor, ended, within=30.0).end == i.Outcome.TIMEOUT
     late.set()
     got = tried(actor, ended, ident=2)
-    assert got.end == i.End.COMPLETED and b"".join(got.result.body) == b"hi"
+    assert got.end == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
     assert peer.met == 2
 
 
@@ -111,10 +111,10 @@
 
     peer = Peer(first, answering(OK))
     actor, ended = build_machine(peer.at)
-    assert tried(actor, ended).end == i.End.COMPLETED
+    assert tried(actor, ended).end == i.Outcome.COMPLETED
     while not actor.idle or not machine.head.closed(actor.idle[-1].sock):
         gevent.sleep(0.001)
-    assert tried(actor, ended, ident=2).end == i.End.COMPLETED
+    assert tried(actor, ended, ident=2).end == i.Outcome.COMPLETED
     assert peer.met == 2
 
 
@@ -126,7 +126,7 @@
         came.append(sock.recv(100))
 
     actor, ended = build_machine(Peer(talk).at, stands=lambda job: False)
-    assert tried(actor, ended).end == i.End.MOOT
+    assert tried(actor, ended).end == i.Outcome.MOOT
     gevent.sleep(0)
     actor.mailbox.put(machine.Leave())
     while not came:
@@ -135,14 +135,14 @@
 
 
 def test_a_try_without_time_left_is_moot():
-    assert tried(*build_machine(("127.0.0.1", 9)), within=0.0).end == i.End.MOOT
+    assert tried(*build_machine(("127.0.0.1", 9)), within=0.0).end == i.Outcome.MOOT
 
 
 def test_a_try_called_off_before_it_began_still_ends():
     actor, ended = build_machine(Peer(answering(OK)).at)
     actor.mailbox.put(machine.Go(job()))
     actor.mailbox.put(machine.CallOff(1, 0))
-    assert ended.get().end in (i.End.CANCELLED, i.End.NOT_CONNECTED)
+    assert ended.get().end in (i.Outcome.CANCELLED, i.Outcome.NOT_CONNECTED)
 
 
 def test_a_try_called_off_after_it_was_written_may_have_run():
@@ -157,7 +157,7 @@
     actor.mailbox.put(machine.Go(job()))
     written.wait()
     actor.mailbox.put(machine.CallOff(1, 0))
-    assert ended.get().end == i.End.CANCELLED
+    assert ended.get().end == i.Outcome.CANCELLED
 
 
 def test_another_start_drops_the_old_connections():
@@ -171,7 +171,7 @@
 
 def test_connections_over_their_share_are_not_kept():
     actor, ended = build_machine(Peer(answering(OK)).at, most=0)
-    assert tried(actor, ended).end == i.End.COMPLETED
+    assert tried(actor, ended).end == i.Outcome.COMPLETED
     gevent.sleep(0)
     assert actor.idle == [] and actor.share.open == 0
 
@@ -181,4 +181,4 @@
         read_req(sock)
         sock.sendall(b"garbage\r\n\r\n")
 
-    assert tried(*build_machine(Peer(talk).at)).end == i.End.RESET
+    assert tried(*build_machine(Peer(talk).at)).end == i.Outcome.RESET
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from myrtleroad.interface import Sight
+from myrtleroad.interface import ListFreshness
 from myrtleroad.membership.asking import Asking, Manner, Service
 from myrtleroad.membership.book import Book, Rank, Said
 from myrtleroad.membership.following import Close, Following, Open, Seen
@@ -25,7 +25,7 @@
 
 def fresh(now=10.0):
     f = following()
-    assert f.told(0, now) == [Seen(Sight.FRESH, now, "told")]
+    assert f.told(0, now) == [Seen(ListFreshness.FRESH, now, "told")]
     return f
 
 
@@ -64,11 +64,11 @@
 
 def test_a_reset_is_asked_again_at_once_and_a_move_meanwhile_does_not_wait():
     f = fresh()
-    assert f.ended(0, 5000.0, "reset") == [Seen(Sight.BLIND, 10.0, "reset")]
+    assert f.ended(0, 5000.0, "reset") == [Seen(ListFreshness.BLIND, 10.0, "reset")]
     assert 5000.0 <= f.due() <= 5010.0
     assert f.moved(5000.5) == [Open(1)] and f.source == 1
     assert f.tick(5004.0) == []  # the pause that the reset began is void
-    assert f.told(1, 5006.0) == [Seen(Sight.FRESH, 5006.0, "told")]
+    assert f.told(1, 5006.0) == [Seen(ListFreshness.FRESH, 5006.0, "told")]
 
 
 def test_a_service_that_refuses_for_two_seconds_is_asked_some_times_and_then_had():
@@ -86,16 +86,16 @@
 def test_a_silent_stream_gets_another_beside_it_and_both_are_read():
     f = fresh()
     assert f.due() == 10.0 + 1.3 * 2000.0
-    assert f.tick(f.due()) == [Seen(Sight.DOUBTFUL, 10.0, "silent"), Open(1)]
+    assert f.tick(f.due()) == [Seen(ListFreshness.DOUBTFUL, 10.0, "silent"), Open(1)]
     assert f.tick(f.due() - 1) == []
-    assert f.told(1, 2700.0) == [Close(0, "another one tells"), Seen(Sight.FRESH, 2700.0, "told")]
+    assert f.told(1, 2700.0) == [Close(0, "another one tells"), Seen(ListFreshness.FRESH, 2700.0, "told")]
 
 
 def test_one_beside_that_fails_is_paced_and_the_old_may_speak_again():
     f = fresh()
     f.tick(f.due())
     assert f.ended(1, 2650.0, "refused") == [] and f.again is not None and f.due() > 2650.0
-    assert f.heard(0, 2660.0) == [Seen(Sight.FRESH, 2660.0, "heard again")] and f.again is None
+    assert f.heard(0, 2660.0) == [Seen(ListFreshness.FRESH, 2660.0, "heard again")] and f.again is None
 
 
 def test_a_stream_silent_for_two_signs_is_given_up():
@@ -108,7 +108,7 @@
         for act in acts:
             if isinstance(act, Open):
                 f.ended(act.stream, f.due(), "refused")
-    assert acts[0] == Close(0, "silent") and f.sight == Sight.BLIND and f.due() < 4600.0
+    assert acts[0] == Close(0, "silent") and f.sight == ListFreshness.BLIND and f.due() < 4600.0
 
 
 def test_one_that_connects_and_says_nothing_is_given_up_and_asked_again():
@@ -160,7 +160,7 @@
     assert mine or f.again is not None, "nobody is asked and nobody will be"
     assert len(f.streams) <= 4 and f.due() < float("inf")
     telling = [s for s in f.streams.values() if s.told is not None]
-    assert (f.sight == Sight.BLIND) == (not telling)
+    assert (f.sight == ListFreshness.BLIND) == (not telling)
     assert f.age(now) >= 0.0
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -82,7 +82,7 @@
     first, second = lists_of(said)
     assert (first.kind, first.version, second.kind) == (i.ListKind.CHANGES, 8, i.ListKind.WHOLE)
     (entry,) = first.entries
-    assert (entry.word, entry.address, entry.row.status) == ("s-1", AT, i.Status.DRAINING)
+    assert (entry.word, entry.address, entry.row.status) == ("s-1", AT, i.ServerStatus.DRAINING)
     assert r.book.version == 9
 
 
@@ -115,7 +115,10 @@
     r, said = build_roster(Peer(talk).at)
     running = gevent.spawn(r.run)
     got = [said.get() for _ in range(4)]
-    assert [m.sight for m in got if isinstance(m, i.Sighted)] == [i.Sight.FRESH, i.Sight.BLIND]
+    assert [m.freshness for m in got if isinstance(m, i.ListFreshnessChanged)] == [
+        i.ListFreshness.FRESH,
+        i.ListFreshness.BLIND,
+    ]
     assert [m.version for m in got if isinstance(m, told.Listing)] == [8, 9]
     assert asked == [b"GET /api/targets?watch=1&after=7 HTTP/1.1"]
     running.kill()
@@ -182,7 +185,11 @@
     rows = [listed("s-1", AT) | bad, listed("s-2", AT, lifecycle="terminating"), 7]
     told_by(r, r.streams[0], orjson.dumps(FIRST | {"generation": 9, "instances": rows}) + b"\n")
     statuses = {e.word: e.row.status for e in lists_of(said)[-1].entries}
-    assert statuses == {"s-1": i.Status.DRAINING, "s-2": i.Status.DRAINING} and r.fetching and r.streams
+    assert (
+        statuses == {"s-1": i.ServerStatus.DRAINING, "s-2": i.ServerStatus.DRAINING}
+        and r.fetching
+        and r.streams
+    )
 
 
 def test_a_line_without_end_ends_its_connection(monkeypatch):
@@ -237,14 +244,16 @@
         new = moved(r, port)
     assert new.at == ("127.0.0.1", 11) and r.streams[0] is old
     r.take(stream.Over(new, "refused", reached=False))
-    assert r.following.sight == i.Sight.FRESH and r.following.due() < r.clock() + 500
+    assert r.following.sight == i.ListFreshness.FRESH and r.following.due() < r.clock() + 500
 
 
 @pytest.mark.parametrize("cut", range(1, len(EVENT)))
 def test_the_bulletin_is_read_wherever_it_is_split(cut):
     b, said = build_bulletin()
     told_by(b, following(b), EVENT, cut)
-    assert [said.get()] == [i.StageNews(i.End.COMPLETED, False, 42, 1, i.Phase.ON_TRIAL, 0.28, 310.0)]
+    assert [said.get()] == [
+        i.StageUpdate(i.Outcome.COMPLETED, False, 42, 1, i.RolloutPhase.ON_TRIAL, 0.28, 310.0)
+    ]
     assert said.empty()
 
 
@@ -285,29 +294,29 @@
 @pytest.mark.parametrize(
     ("result", "end"),
     [
-        (Answer(200, [], [STATE]), i.End.COMPLETED),
-        (Answer(200, [], [STATE[:-30]]), i.End.TIMEOUT),
-        (Answer(200, [], [b"<Response/>"]), i.End.TIMEOUT),
-        (Answer(400, [], xml(b"throttled")), i.End.FULL),
-        (Answer(400, [], [b"<Response>%b</Response>" % xml(b"throttled")[0]]), i.End.FULL),
-        (Answer(400, [], xml(b"conflict")), i.End.MOOT),
-        (Answer(400, [], xml(b"invalid")), i.End.ERRORED),
-        (Answer(500, [], xml(b"internal")), i.End.ERRORED),
-        (Answer(500, [], [b"no"]), i.End.TIMEOUT),
-        (Answer(400, [], xml(b"other")), i.End.TIMEOUT),
-        (Answer(503, [], xml(b"throttled")), i.End.TIMEOUT),
-        (Answer(200, [], [STATE.replace(b"0.28", b"nan")]), i.End.TIMEOUT),
-        (Broken(Reach.NOT_CONNECTED, Cause.ENDED), i.End.ERRORED),
-        (Broken(Reach.CONNECTED, Cause.ENDED), i.End.ERRORED),
-        (Broken(Reach.WRITTEN, Cause.ENDED), i.End.TIMEOUT),
-        (Broken(Reach.BEGUN, Cause.UNREADABLE), i.End.TIMEOUT),
+        (Answer(200, [], [STATE]), i.Outcome.COMPLETED),
+        (Answer(200, [], [STATE[:-30]]), i.Outcome.TIMEOUT),
+        (Answer(200, [], [b"<Response/>"]), i.Outcome.TIMEOUT),
+        (Answer(400, [], xml(b"throttled")), i.Outcome.FULL),
+        (Answer(400, [], [b"<Response>%b</Response>" % xml(b"throttled")[0]]), i.Outcome.FULL),
+        (Answer(400, [], xml(b"conflict")), i.Outcome.MOOT),
+        (Answer(400, [], xml(b"invalid")), i.Outcome.ERRORED),
+        (Answer(500, [], xml(b"internal")), i.Outcome.ERRORED),
+        (Answer(500, [], [b"no"]), i.Outcome.TIMEOUT),
+        (Answer(400, [], xml(b"other")), i.Outcome.TIMEOUT),
+        (Answer(503, [], xml(b"throttled")), i.Outcome.TIMEOUT),
+        (Answer(200, [], [STATE.replace(b"0.28", b"nan")]), i.Outcome.TIMEOUT),
+        (Broken(Reach.NOT_CONNECTED, Cause.ENDED), i.Outcome.ERRORED),
+        (Broken(Reach.CONNECTED, Cause.ENDED), i.Outcome.ERRORED),
+        (Broken(Reach.WRITTEN, Cause.ENDED), i.Outcome.TIMEOUT),
+        (Broken(Reach.BEGUN, Cause.UNREADABLE), i.Outcome.TIMEOUT),
     ],
 )
 def test_what_came_of_a_vote(result, end):
     news = desk.news_of(result)
-    assert news.end == end and news.answers_vote
-    if end == i.End.COMPLETED:
-        assert (news.build, news.stage, news.phase, news.cap) == (42, 1, i.Phase.ON_TRIAL, 0.28)
+    assert news.outcome == end and news.answers_vote
+    if end == i.Outcome.COMPLETED:
+        assert (news.build, news.stage, news.phase, news.cap) == (42, 1, i.RolloutPhase.ON_TRIAL, 0.28)
 
 
 def test_a_vote_is_written_as_a_form_and_each_has_its_own_connection():
@@ -322,7 +331,7 @@
     gevent.spawn(d.run)
     for verdict in (i.Verdict.ON, i.Verdict.BACK):
         d.mailbox.put(i.Vote(42, verdict, 1))
-        assert said.get().end == i.End.COMPLETED
+        assert said.get().outcome == i.Outcome.COMPLETED
     assert [f.split(b"&")[3] for f in forms] == [b"Decision=approve", b"Decision=reject"]
     assert forms[0].startswith(b"Action=RecordOpinion&Revision=42&Wave=1&") and peer.met == 2
 
@@ -339,7 +348,7 @@
     gevent.spawn(d.run)
     d.mailbox.put(told.Moved(peer.at))
     d.mailbox.put(i.Vote(42, i.Verdict.ON, 1))
-    assert said.get().end == i.End.COMPLETED and len(forms) == 1
+    assert said.get().outcome == i.Outcome.COMPLETED and len(forms) == 1
 
 
 def test_a_vote_that_nothing_comes_of_may_count():
@@ -356,10 +365,10 @@
     t = build_told(listed("s-1", AT, zone="there", startedAtMs=12, version_no=41))
     assert (t.seed, t.sockets, t.connect_ms, t.idle_ms) == (0x8C1F30D27A5BE964, 1024, 250.0, 15000.0)
     assert (t.routes, t.tenants) == ({b"look": 0, b"book": 1}, {b"acme": 0})
-    assert t.facts.routes[1].effect == i.Effect.NON_RETRIABLE and t.facts.load_column == 0
-    assert t.known.kind == i.ListKind.REMEMBERED and t.news.phase == i.Phase.RELEASED
+    assert t.facts.routes[1].retry_safety == i.RetrySafety.NON_RETRIABLE and t.facts.load_column == 0
+    assert t.known.kind == i.ListKind.REMEMBERED and t.news.phase == i.RolloutPhase.RELEASED
     row = t.known.entries[0].row
-    assert (row.zone, row.started, row.build, row.status) == (1, 12.0, 41, i.Status.IN_SERVICE)
+    assert (row.zone, row.started_at, row.build, row.status) == (1, 12.0, 41, i.ServerStatus.IN_SERVICE)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -108,9 +108,9 @@
     assert w.publish(*lines) == {"ok": True, "number": 1}
     until(lambda: w.service.rollout.phase == Phase.DONE)
     b = f.brain.balancer
-    assert b.facts.routes[0].timeout_ms == 700.0 and b.facts.routes[0].most_tries == 1
+    assert b.settings.routes[0].timeout_ms == 700.0 and b.settings.routes[0].max_attempts == 1
     assert b.most_share == 0.05
-    assert {m.row.status for m in b.machines.values()} == {i.Status.DRAINING}
+    assert {m.row.status for m in b.machines.values()} == {i.ServerStatus.DRAINING}
     client = socket.create_connection(f.door.sock.getsockname())
     answers = []
     for n in range(4):
@@ -123,8 +123,8 @@
     f.log("list read")
     f.log("fault", level="warning")
     assert len(f.log.lines) == before + 1 and orjson.loads(f.log.lines[-1])["level"] == "warning"
-    assert b.facts.routes[0].timeout_ms == 2000.0 and b.most_share == 1.0
-    assert {m.row.status for m in b.machines.values()} == {i.Status.IN_SERVICE}
+    assert b.settings.routes[0].timeout_ms == 2000.0 and b.most_share == 1.0
+    assert {m.row.status for m in b.machines.values()} == {i.ServerStatus.IN_SERVICE}
     assert f.counters.counts["faults"] == 0
 
 
@@ -154,14 +154,14 @@
     until(lambda: w.service.rollout.phase == Phase.HALTED)
     status = w.call(call="status")
     assert status["fronts"][0]["code"] == "widens" and "line 2, column 10" in status["fronts"][0]["text"]
-    assert holds(f) == 1 and f.brain.balancer.facts.routes[0].most_tries == 2
+    assert holds(f) == 1 and f.brain.balancer.settings.routes[0].max_attempts == 2
     assert "number it 3" in w.publish(number=2)["why"] and "range" in w.publish("trial most-share=7")["why"]
     assert w.call(call="rollback", to=1) == {
         "ok": True,
         "number": 3,
     }  # the way out: older content, new number
     until(lambda: w.service.rollout.phase == Phase.DONE)
-    assert holds(f) == 3 and f.brain.balancer.facts.routes[0].most_tries == 2
+    assert holds(f) == 3 and f.brain.balancer.settings.routes[0].max_attempts == 2
 
 
 def test_a_version_that_asks_for_it_goes_back_unless_confirmed(world):
@@ -188,7 +188,7 @@
     f = w.front()
     w.publish("trial most-share=0.1")
     until(lambda: holds(f) == 1)
-    f.brain.tell(i.StageNews(i.End.COMPLETED, False, 2, 0, i.Phase.ON_TRIAL, 0.04, 0.0))
+    f.brain.tell(i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.ON_TRIAL, 0.04, 0.0))
     f.brain.hear()
     assert f.brain.balancer.cap(2)[0] == 0.04 and f.brain.balancer.most_share == 0.04
 
