--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -22,7 +22,7 @@
 
 from myrtleroad.membership.asking import Manner
 from myrtleroad.membership.following import Following, Open
-from myrtleroad.net.lookout import Lookout
+from myrtleroad.net.stream_poller import StreamPoller
 
 GRACE_MS, SIGN_MS, MOST_MS = 250.0, 2000.0, 10000.0
 DAY_MS = 120_000.0
@@ -183,7 +183,7 @@
 def look_cost(rounds: int) -> list[str]:
     """The look against a plain loop of the clock and against one read that finds nothing."""
     pairs = [socket.socketpair() for _ in range(2)]
-    lookout = Lookout()
+    lookout = StreamPoller()
     for a, _ in pairs:
         a.setblocking(False)
         lookout.add(a.fileno(), Quiet())
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -25,7 +25,7 @@
 from myrtleroad.control.rollout import Phase, Plan
 from myrtleroad.control.service import Call, Service
 from myrtleroad.net.clock import Clock
-from myrtleroad.net.versions import PAUSE_S, SLICE_S
+from myrtleroad.net.config_versions import SLICE_PAUSE_S, SLICE_S
 
 TOLD = rules.Told({}, {}, (), 3, (1.0,), None, "192.0.2.7")
 
@@ -63,7 +63,7 @@
     begun = time.monotonic()
     for _ in version.steps(data, TOLD, version.Version()):
         if time.monotonic() - begun >= SLICE_S:
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(SLICE_PAUSE_S)
             begun = time.monotonic()
 
 
@@ -96,13 +96,17 @@
 def through_a_front(entries: int, rate: float, seconds: float) -> list[str]:
     """Latencies of reqs through a real front at ``rate`` a second, while it reads a version of so many
     entries again and again, against none: machine, clients and front share this process."""
-    from myrtleroad.net import bounds, front, told
+    from myrtleroad.net import front, node_config, operator_limits
 
     machine = server.StreamServer(("127.0.0.1", 0), lambda sock, _: answers(sock))
     machine.start()
     config = small_config(machine.address)
-    program = front.Front(told.decode(orjson.dumps(config)), os.open(os.devnull, os.O_WRONLY))
-    holder = bounds.Holder(program.told, program.clock, program.brain, program.roster, program.door)
+    program = front.Front(
+        node_config.decode_node_config(orjson.dumps(config)), os.open(os.devnull, os.O_WRONLY)
+    )
+    holder = operator_limits.OperatorLimits(
+        program.told, program.clock, program.brain, program.roster, program.door
+    )
     versions = holder.versions(("127.0.0.1", 9), program.counters, program.log)
     running = gevent.spawn(program.run)
     data = text(1, entries)
--- a/myrtleroad/cli.py
+++ b/myrtleroad/cli.py
@@ -39,12 +39,12 @@
     know, as a control service, stands in a file of its own (deploy/front.kdl)."""
     # One core is shared: the linear algebra library must not start threads, each with memory of its own.
     os.environ["OPENBLAS_NUM_THREADS"] = "1"
-    from myrtleroad.net import front, told
+    from myrtleroad.net import front, node_config
 
     try:
-        told_now = told.read()
+        told_now = node_config.read_node_config()
         program = front.Front(told_now, own=also)
-    except told.Unclear as fault:
+    except node_config.ConfigError as fault:
         sys.exit(f"myrtleroad: {fault}")
     except OSError as fault:
         sys.exit(f"myrtleroad: cannot listen: {fault}")
@@ -61,11 +61,11 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def check(file: str) -> None:
     """Decode a configuration and say what a front would be told."""
-    from myrtleroad.net import told
+    from myrtleroad.net import node_config
 
     try:
-        t = told.read(file)
-    except told.Unclear as fault:
+        t = node_config.read_node_config(file)
+    except node_config.ConfigError as fault:
         sys.exit(f"myrtleroad: {fault}")
     click.echo(
         f"{t.name}: {len(t.routes)} routes, {len(t.tenants)} tenants, {len(t.known.entries)} machines, "
--- a/myrtleroad/config/commands.py
+++ b/myrtleroad/config/commands.py
@@ -17,15 +17,15 @@
         return f.read(MOST_BYTES + 1)
 
 
-def told_by(node_config: str | None) -> rules.Told | None:
+def told_by(config_file: str | None) -> rules.Told | None:
     """What a front with this configuration is told; None where none is named."""
-    if node_config is None:
+    if config_file is None:
         return None
-    from myrtleroad.net import told
+    from myrtleroad.net import node_config
 
     try:
-        return told.read(node_config).bounds()
-    except told.Unclear as fault:
+        return node_config.read_node_config(config_file).bounds()
+    except node_config.ConfigError as fault:
         raise click.ClickException(str(fault)) from None
 
 
--- a/myrtleroad/control/commands.py
+++ b/myrtleroad/control/commands.py
@@ -30,11 +30,11 @@
     from myrtleroad.control.rollout import Plan
     from myrtleroad.net.clock import Clock
     from myrtleroad.net.log import Log
-    from myrtleroad.net.told import address
+    from myrtleroad.net.node_config import parse_address
 
     try:
         plan = Plan(tuple(float(r) for r in rings.split(",")), bad_share, watch * 1000)
-        at = address(listen)
+        at = parse_address(listen)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     if faults := plan.faults():
--- a/myrtleroad/control/service.py
+++ b/myrtleroad/control/service.py
@@ -25,7 +25,7 @@
 from myrtleroad.control.numbering import FIRST_EPOCH, Taken, as_difference
 from myrtleroad.control.numbering import number as numbered
 from myrtleroad.control.rollout import Act, Finished, Halted, Phase, Plan, Rollout, Send
-from myrtleroad.net.listening import set_option
+from myrtleroad.net.listening_socket import try_set_option
 
 ALIVE_S, SILENT_S = 2.0, 5.0  # as the fronts': docs/formats/config-stream.md
 QUEUED = 64  # frames that wait for a front; one that reads none of them is cut off
@@ -364,7 +364,7 @@
         self.open += 1
         writer = gevent.spawn(self.write, link)
         try:
-            set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            try_set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
             sock.settimeout(SILENT_S)
             while data := sock.recv(64 * 1024):
                 for frame in decoder.feed(data):
--- a/myrtleroad/net/actor.py
+++ b/myrtleroad/net/actor.py
@@ -8,20 +8,20 @@
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.log import Log
 
-REST_S = 0.1  # after a fault, so that one that comes at once does not spin
+RESTART_DELAY_S = 0.1  # after a fault, so that one that comes at once does not spin
 
 
-def fault(during: str, error: Exception, counters: Counters, log: Log) -> None:
+def report_fault(during: str, error: Exception, counters: Counters, log: Log) -> None:
     counters.add("faults")
     last = traceback.extract_tb(error.__traceback__)[-1]
     place = f"{last.filename.rpartition('/')[2]}:{last.lineno}"
     log("fault", level="warning", during=during, error=f"{type(error).__name__}: {error}", place=place)
 
 
-def keep(name: str, run: Callable[[], None], counters: Counters, log: Log) -> None:
+def keep_running(name: str, run: Callable[[], None], counters: Counters, log: Log) -> None:
     while True:
         try:
             return run()
         except Exception as error:
-            fault(name, error, counters, log)
-            gevent.sleep(REST_S)
+            report_fault(name, error, counters, log)
+            gevent.sleep(RESTART_DELAY_S)
--- a/myrtleroad/net/door.py
+++ b/myrtleroad/net/client_listener.py
@@ -11,15 +11,15 @@
 
 from myrtleroad import interface as i
 from myrtleroad.answers.entry import Entry, Word
-from myrtleroad.net import head, reply
-from myrtleroad.net.actor import fault
-from myrtleroad.net.brain import APART, Gone, Taken
+from myrtleroad.net import http1, response
+from myrtleroad.net.actor import report_fault
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.lag import Lag, unread_ms
-from myrtleroad.net.listening import open_listener, set_option
-from myrtleroad.net.log import Log, Scarce
-from myrtleroad.net.told import Told
+from myrtleroad.net.dispatcher import RESERVED_DESCRIPTORS, ClientGone, RequestReceived
+from myrtleroad.net.listening_socket import open_listener, try_set_option
+from myrtleroad.net.log import Log, RateLimitedWarnings
+from myrtleroad.net.node_config import NodeConfig
+from myrtleroad.net.read_delay import ReadDelay, unread_ms
 
 if TYPE_CHECKING:
     from myrtleroad.config.gate import Gate
@@ -43,7 +43,7 @@
 ID_LIMIT = 128  # characters of a req's id: some times the common forms
 
 
-class Client:
+class ClientConnection:
     """One client connection. Its greenlet reads; an answer is written by a greenlet of its own."""
 
     __slots__ = (
@@ -66,11 +66,11 @@
         "written",
     )
 
-    def __init__(self, door: "Door", sock: socket.socket, peer: str = "", brief: bool = False):
+    def __init__(self, door: "ClientListener", sock: socket.socket, peer: str = "", brief: bool = False):
         self.door, self.sock, self.peer = door, sock, peer
         self.brief = brief  # there was no room for it: its first req is refused at once, and is its last
         self.tenant: str | None = None  # that the gate counts the held req for
-        self.requests = head.Requests()
+        self.requests = http1.RequestParser()
         self.held: int | None = None  # the req that the module has
         self.owed = False  # a req has come and nobody has answered it: the first answer is the only one
         self.turn = Event()  # set while no answer is owed
@@ -94,11 +94,11 @@
             if error.errno not in GONE:
                 self.unreadable()
         except Exception as error:
-            fault("client", error, self.door.counters, self.door.log)
+            report_fault("client", error, self.door.counters, self.door.log)
             self.failed()
         finally:
             if self.held is not None:
-                self.door.deliver(Gone(self.held))
+                self.door.deliver(ClientGone(self.held))
             self.leave()
             self.drop()
 
@@ -118,7 +118,7 @@
     def read(self) -> None:
         """Reads on while a req is held, so that a client that leaves is seen at once."""
         rest: memoryview | bytes = b""
-        while data := rest or head.read(self.sock):
+        while data := rest or http1.receive(self.sock):
             if self.closing:
                 rest = b""  # what comes after the last answer is not read as a req
                 self.drained += len(data)
@@ -141,7 +141,7 @@
             self.since = self.door.clock()
         try:
             took = requests.feed(data)
-        except head.Unfit as unfit:
+        except http1.HttpError as unfit:
             self.refuse(unfit.status)
             return b""
         rest = bytes(data[took:])
@@ -152,7 +152,7 @@
             self.take(requests.take(), age)
         elif requests.expects:
             requests.expects = False
-            head.write(self.sock, [head.CONTINUE])
+            http1.send(self.sock, [http1.CONTINUE])
         if not rest:
             self.behind = None
         return rest
@@ -160,7 +160,7 @@
     def awaited(self) -> bool:
         """Waits for the answer that is owed; false where the client leaves first."""
         while not self.turn.wait(LOOK_S):
-            if head.look(self.sock) == b"":
+            if http1.peek(self.sock) == b"":
                 return False
         return True
 
@@ -172,30 +172,30 @@
             age = max(age, self.door.clock() - self.behind)
         return max(age, self.begun) if not self.asked and self.door.lag.turns == self.first else age
 
-    def take(self, message: head.Message, age: float) -> None:
+    def take(self, message: http1.Message, age: float) -> None:
         door, now = self.door, self.door.clock()
         self.closing = not message.keep
         rq = door.req(message, now - age)
         if self.brief:
             self.closing = True
-            rq = rq if isinstance(rq, reply.Reply) else door.full()
-        if not isinstance(rq, reply.Reply) and (no := door.word(rq, message, age, now)) is not None:
+            rq = rq if isinstance(rq, response.Response) else door.full()
+        if not isinstance(rq, response.Response) and (no := door.word(rq, message, age, now)) is not None:
             rq = no
-        if not isinstance(rq, reply.Reply) and (no := door.bound(self, rq, now)) is not None:
+        if not isinstance(rq, response.Response) and (no := door.bound(self, rq, now)) is not None:
             rq = no
-        if isinstance(rq, reply.Reply):
+        if isinstance(rq, response.Response):
             self.answer(rq)
         else:
             self.held = rq.id
-            door.deliver(Taken(rq, message, now, self.answer, age))
+            door.deliver(RequestReceived(rq, message, now, self.answer, age))
 
     def refuse(self, status: int) -> None:
         """The last answer of a connection whose framing is lost, or whose req does not come."""
         self.closing, self.owed = True, True
         self.turn.clear()
-        self.answer(reply.unfit(status))
+        self.answer(response.rejected(status))
 
-    def answer(self, final: reply.Reply) -> None:
+    def answer(self, final: response.Response) -> None:
         """Called by whoever has the answer; never waits."""
         if not self.owed:
             return  # it was answered, or has left
@@ -205,20 +205,20 @@
         self.door.counters.add(f"answers_{final.status}")
         self.written = self.door.clock()
         parts = self.parts(final)
-        left = self.guarded(lambda: head.write_now(self.sock, parts))
+        left = self.guarded(lambda: http1.send_nowait(self.sock, parts))
         if left:
             gevent.spawn(self.write, left)
         else:
             self.wrote()
 
-    def parts(self, final: reply.Reply) -> list[bytes]:
+    def parts(self, final: response.Response) -> list[bytes]:
         """An answer as bytes; one that cannot be made is a failure, told as the last of its connection."""
         try:
             return final.parts(self.closing)
         except Exception as error:
-            fault("answer", error, self.door.counters, self.door.log)
+            report_fault("answer", error, self.door.counters, self.door.log)
             self.closing = True
-            return reply.errored().parts(True)
+            return response.bad_gateway().parts(True)
 
     def leave(self) -> None:
         """The req that the gate let in is over."""
@@ -228,7 +228,7 @@
 
     def write(self, left: bytes) -> None:
         """What the system did not take at once of an answer, as its client reads."""
-        self.guarded(lambda: head.write_all(self.sock, left))
+        self.guarded(lambda: http1.send_all(self.sock, left))
         self.wrote()
 
     def guarded(self, call: Callable[[], bytes | None]) -> bytes | None:
@@ -238,7 +238,7 @@
         except OSError:
             self.drop()
         except Exception as error:
-            fault("answer", error, self.door.counters, self.door.log)
+            report_fault("answer", error, self.door.counters, self.door.log)
             self.drop()
         return None
 
@@ -264,21 +264,22 @@
             if now - self.since > LINGER_MS:
                 self.drop()
         elif self.requests.begun:
-            if now - self.since > WHOLE_MS and head.look(self.sock) is None:
+            if now - self.since > WHOLE_MS and http1.peek(self.sock) is None:
                 self.refuse(408)
-        elif now - self.since > IDLE_MS and head.look(self.sock) is None:
+        elif now - self.since > IDLE_MS and http1.peek(self.sock) is None:
             self.door.counters.add("idle_closed")
             self.drop()
 
 
-class Door:
+class ClientListener:
+    ACTOR_NAME = "door"  # the actor's name in log events
     BRIEF = 8  # connections taken beyond the clients' half only to be refused: a third of what is kept APART
     ROOM = 16  # connections closed at once when descriptors run short
     PAUSE_S = 0.01  # before the next look where none can be closed, so that accepting does not spin
 
     def __init__(
         self,
-        told: Told,
+        told: NodeConfig,
         clock: Clock,
         counters: Counters,
         log: Log,
@@ -287,10 +288,10 @@
     ):
         self.told, self.clock, self.counters, self.log = told, clock, counters, log
         self.deliver, self.is_ready = deliver, is_ready
-        self.clients: set[Client] = set()  # emptied as each connection closes
-        self.lag, self.early = Lag(clock), Scarce(log)
+        self.clients: set[ClientConnection] = set()  # emptied as each connection closes
+        self.lag, self.early = ReadDelay(clock), RateLimitedWarnings(log)
         self.entry = Entry(r.objective_ms for r in told.facts.routes)
-        self.most = (told.sockets - APART) // 2  # the other half is for machines
+        self.most = (told.sockets - RESERVED_DESCRIPTORS) // 2  # the other half is for machines
         self.many = (
             told.sockets // 4
         )  # connections kept between reqs: under the third that open reqs may hold
@@ -315,23 +316,23 @@
                 client.tenant = None  # counted by a gate that is no more, or by none
             self.gate = gate
 
-    def bound(self, client: Client, rq: i.Request, now: float) -> reply.Reply | None:
+    def bound(self, client: ClientConnection, rq: i.Request, now: float) -> response.Response | None:
         """The answer to a req that operators do not let in."""
         if self.networks is not None and client.peer and not self.networks.admits(client.peer):
             self.counters.add("reqs_network_refused")
             client.closing = True
-            return reply.unfit(403)
+            return response.rejected(403)
         if self.gate is not None and rq.tenant is not None:
             name = self.tenants[rq.tenant]
             wait = self.gate.take(name, now)
             if wait is not None:
                 self.counters.add("reqs_over_bound")
                 most = self.settings.max_retry_after_ms if self.settings.retry_after_allowed else 0.0
-                return reply.shed(min(wait, most))
+                return response.shed(min(wait, most))
             client.tenant = name
         return None
 
-    def word(self, rq: i.Request, message: head.Message, age: float, now: float) -> reply.Reply | None:
+    def word(self, rq: i.Request, message: http1.Message, age: float, now: float) -> response.Response | None:
         """The answer to a req that has waited unread for too long; nothing was sent for it."""
         self.counters.high("longest_unread_ms", age)
         word = self.entry.word(age, rq.deadline - now, now)
@@ -340,7 +341,7 @@
         self.counters.add(f"reqs_unread_{word.name.lower()}")
         txn, left = (message.header(b"x-txn") or b"").decode("latin-1"), round(rq.deadline - now, 1)
         self.early("req refused unread", now, txn=txn, age_ms=round(age, 1), left_ms=left, why=word.name)
-        return reply.full(self.settings)
+        return response.overloaded(self.settings)
 
     def run(self) -> None:
         sweeper = gevent.spawn(self.sweep)
@@ -369,9 +370,9 @@
                     self.make_room()
                 self.welcome(sock, peer[0], len(self.clients) >= self.most)
 
-    def full(self) -> reply.Reply:
+    def full(self) -> response.Response:
         self.counters.add("reqs_full")
-        return reply.full(self.settings)
+        return response.overloaded(self.settings)
 
     def sweep(self) -> None:
         while True:
@@ -381,9 +382,9 @@
                 client.look(now)
 
     def welcome(self, sock: socket.socket, peer: str, brief: bool = False) -> None:
-        set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        try_set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
         self.counters.add("client_connections")
-        client = Client(self, sock, peer, brief)
+        client = ClientConnection(self, sock, peer, brief)
         self.clients.add(client)
         gevent.spawn(client.run)
 
@@ -394,7 +395,7 @@
             (c for c in self.clients if c.turn.is_set()),
             key=lambda c: (not c.closing, c.requests.begun, c.since),
         )
-        given = [c for c in free[: self.ROOM] if c.closing or head.look(c.sock) is None]
+        given = [c for c in free[: self.ROOM] if c.closing or http1.peek(c.sock) is None]
         for client in given:
             self.counters.add("idle_closed")
             client.drop()
@@ -423,15 +424,15 @@
         for client in [c for c in self.clients if c.idle]:
             client.drop()
 
-    def req(self, message: head.Message, now: float) -> i.Request | reply.Reply:
+    def req(self, message: http1.Message, now: float) -> i.Request | response.Response:
         """The req that a message asks for, or the answer to one that is not for the module."""
         path = message.target.partition(b"?")[0]
         if path == b"/-/ready":
-            return reply.ready(self.is_ready())
+            return response.readiness(self.is_ready())
         if path != b"/api" and not path.startswith(b"/api/"):
-            return reply.unfit(404)
-        if message.method not in head.METHODS:
-            return reply.unfit(405)
+            return response.rejected(404)
+        if message.method not in http1.METHODS:
+            return response.rejected(405)
         word = message.only(b"x-txn") or b""
         remaining = message.only(b"x-remaining-ms") or b""
         route = self.told.routes.get(message.only(b"x-lane") or b"")
@@ -439,12 +440,12 @@
         unknown = route is None or (tenant is None and self.told.tenants)
         readable = remaining.isdigit() and len(remaining) < 10
         if unknown or not readable or not self.names(word) or not message.only(b"host"):
-            return reply.unfit(400)
+            return response.rejected(400)
         effect = self.told.facts.routes[route].retry_safety
         if effect == i.RetrySafety.RETRIABLE and (message.method != b"GET" or message.body):
-            return reply.unfit(400)
+            return response.rejected(400)
         if effect == i.RetrySafety.NON_RETRIABLE and message.method != b"POST":
-            return reply.unfit(400)
+            return response.rejected(400)
         self.ident += 1
         repeat = message.header(b"x-resent") == b"1"
         within = float(remaining)
--- a/myrtleroad/net/versions.py
+++ b/myrtleroad/net/config_versions.py
@@ -18,19 +18,21 @@
 from myrtleroad.membership.asking import Asking, Manner
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.log import Log
-from myrtleroad.net.told import UNREADABLE, Address, Moved, Told
+from myrtleroad.net.node_config import DECODE_ERRORS, Address, AddressChanged, NodeConfig
 
-CONNECT_S = 1.0  # as for the other streams
-ALIVE_S = 2.0  # a sign of life goes out so often
-SILENT_S = 5.0  # two signs of life and some room
+CONNECT_TIMEOUT_S = 1.0  # as for the other streams
+HEARTBEAT_S = 2.0  # a sign of life goes out so often
+SILENCE_TIMEOUT_S = 5.0  # two signs of life and some room
 SLICE_S = 0.001  # reading a version lets others run after so long, once the slice of nodes it is in ends
-PAUSE_S = 0.004  # and sleeps so long, as a version has time and reqs have not: a fifth of a core at most. A
+SLICE_PAUSE_S = (
+    0.004  # and sleeps so long, as a version has time and reqs have not: a fifth of a core at most. A
+)
 # sleep of 0 would let greenlets run, but no socket in until 50 of them have
-READ = 64 * 1024
+READ_BYTES = 64 * 1024
 
 
 @dataclass(slots=True, frozen=True)
-class Came:
+class FrameReceived:
     """A frame of one stream; without one, its end."""
 
     stream: int
@@ -39,14 +41,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Judged:
+class OfferChecked:
     """What the check of an offer says."""
 
     offer: Offer
     found: version.Version
 
 
-class Versions:
+class ConfigVersions:
     """Follows one control service. The ledger decides; reading and checking go on in a greenlet of their own,
     by slices, so that reqs do not wait. ``apply`` takes the bounds of now (None where nothing is
     narrowed) and must not switch; ``cap`` tells the cap of a build on trial, None where none is."""
@@ -54,7 +56,7 @@
     def __init__(
         self,
         at: Address,
-        told: Told,
+        told: NodeConfig,
         clock: Callable[[], float],
         counters: Counters,
         log: Log,
@@ -67,7 +69,7 @@
         self.ledger = Ledger()
         self.contents = {self.ledger.force.name: EMPTY}  # of the one in force and the last good one
         self.found = version.Version()  # the one that is being applied
-        manner = Manner(told.facts.balancers, told.facts.server_rules.drain_grace_ms, ALIVE_S * 1000)
+        manner = Manner(told.facts.balancers, told.facts.server_rules.drain_grace_ms, HEARTBEAT_S * 1000)
         self.asking = Asking(manner, Random(told.seed + 2).random)
         self.stream = 0  # the newest, of the address that holds now
         self.socks: dict[int, socket.socket] = {}  # of the newest, and of one that a move has left behind
@@ -88,16 +90,16 @@
 
     def take(self, message: object) -> None:
         match message:
-            case Came(stream, None, why):
+            case FrameReceived(stream, None, why):
                 self.over(stream, why)
-            case Came(stream, frame) if stream in self.socks:
+            case FrameReceived(stream, frame) if stream in self.socks:
                 try:
                     self.came(frame, stream)
-                except UNREADABLE as error:
+                except DECODE_ERRORS as error:
                     self.end(stream, f"unreadable: {type(error).__name__}: {error}")
-            case Judged(offer, found):
+            case OfferChecked(offer, found):
                 self.judged(offer, found)
-            case Moved(at) if at != self.at:
+            case AddressChanged(at) if at != self.at:
                 # The old one is followed until the new one says something: a wrong address cuts nobody off.
                 self.at = at
                 gevent.spawn(self.connect)
@@ -161,11 +163,11 @@
             steps = self.read(offer, found)
             for _ in steps:
                 if time.monotonic() - begun >= SLICE_S:
-                    gevent.sleep(PAUSE_S)
+                    gevent.sleep(SLICE_PAUSE_S)
                     begun = time.monotonic()
         except Exception as error:  # whatever is wrong with it, the offer gets its answer
             found.faults = [Fault("syntax", f"{type(error).__name__}: {error}")]
-        self.mailbox.put(Judged(offer, found))
+        self.mailbox.put(OfferChecked(offer, found))
 
     def read(self, offer: Offer, found: version.Version):
         """Steps over a whole text or a difference. Raises KeyError and the like where it can't be read."""
@@ -237,9 +239,9 @@
         self.stream += 1
         number, why, sock = self.stream, "ended", None
         try:
-            sock = socket.create_connection(self.at, CONNECT_S)
+            sock = socket.create_connection(self.at, CONNECT_TIMEOUT_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.settimeout(SILENT_S)
+            sock.settimeout(SILENCE_TIMEOUT_S)
             self.socks[number], self.opened[number] = sock, self.clock()
             self.ledger.opened(number)
             force = self.ledger.force
@@ -247,26 +249,26 @@
             self.send(number, encode("hello", name=self.told.name, protocol=1, holds=holds))
             gevent.spawn(self.signs, number)
             decoder = Decoder()
-            while data := sock.recv(READ):
+            while data := sock.recv(READ_BYTES):
                 for frame in decoder.feed(data):
-                    self.mailbox.put(Came(number, frame))
+                    self.mailbox.put(FrameReceived(number, frame))
         except (OSError, Spoilt) as error:
             why = f"{type(error).__name__}: {error}"
         finally:
             if sock is not None:
                 sock.close()
-            self.mailbox.put(Came(number, None, why))
+            self.mailbox.put(FrameReceived(number, None, why))
 
     def signs(self, stream: int) -> None:
         while stream in self.socks:
-            gevent.sleep(ALIVE_S)
+            gevent.sleep(HEARTBEAT_S)
             self.send(stream, encode("alive"))
 
     def send(self, stream: int, frame: bytes) -> None:
         """Never waits for long: a front's frames are small, and a peer that takes none is of no use."""
         if (sock := self.socks.get(stream)) is not None:
             try:
-                with gevent.Timeout(CONNECT_S, TimeoutError):
+                with gevent.Timeout(CONNECT_TIMEOUT_S, TimeoutError):
                     sock.sendall(frame)
             except OSError as error:
                 self.end(stream, f"{type(error).__name__}: {error}")
--- a/myrtleroad/net/connecting.py
+++ b/myrtleroad/net/connecting.py
@@ -6,7 +6,7 @@
 
 from gevent import socket
 
-from myrtleroad.net.told import Address
+from myrtleroad.net.node_config import Address
 
 UNDER_WAY = frozenset((errno.EINPROGRESS, errno.EINTR))  # the connection goes on coming up
 
--- a/myrtleroad/net/roster.py
+++ b/myrtleroad/net/discovery.py
@@ -12,16 +12,24 @@
 from myrtleroad.membership.book import Book, Change, Rank, Said
 from myrtleroad.membership.following import Seen
 from myrtleroad.membership.lease import ListLease, Terms
-from myrtleroad.net import head
+from myrtleroad.net import http1
 from myrtleroad.net.counters import Counters
+from myrtleroad.net.json_stream import JsonObjectReader
 from myrtleroad.net.log import Log
-from myrtleroad.net.objects import ObjectLines
-from myrtleroad.net.stream import CONNECT_S, LINE_LIMIT, Follower, Post, Stream
-from myrtleroad.net.told import UNREADABLE, Entry, Listing, Told, count, entries, loads
-
-SIGN_MS = 2000.0  # an empty line comes so often while nothing changes (protocol)
-FETCH_S = 2.5  # for a whole list asked for by itself: a service in a queue takes as long
-BEGINS = b'"generation"'  # a key of every list and of no entry
+from myrtleroad.net.node_config import (
+    DECODE_ERRORS,
+    ListedServer,
+    NodeConfig,
+    ServerListing,
+    json_object,
+    listed_servers,
+    non_negative_int,
+)
+from myrtleroad.net.stream import CONNECT_TIMEOUT_S, MAX_LINE_BYTES, FollowerActor, FollowerContext, Stream
+
+HEARTBEAT_MS = 2000.0  # an empty line comes so often while nothing changes (protocol)
+FETCH_TIMEOUT_S = 2.5  # for a whole list asked for by itself: a service in a queue takes as long
+LIST_KEY = b'"generation"'  # a key of every list and of no entry
 RANKS = {
     i.ServerStatus.IN_SERVICE: Rank.OPEN,
     i.ServerStatus.DRAINING: Rank.CLOSING,
@@ -29,62 +37,65 @@
 }
 
 
-def manner(told: Told, sign_ms: float) -> Manner:
+def follower_settings(told: NodeConfig, sign_ms: float) -> Manner:
     rules = told.facts.server_rules
     most = rules.max_poll_interval_ms or float("inf")
     return Manner(told.facts.balancers, rules.drain_grace_ms, sign_ms, most)
 
 
-def list_manner(told: Told) -> Manner:
+def list_follower_settings(told: NodeConfig) -> Manner:
     """Discovery is one service for all fronts where it is asked, an agent of each front's own else."""
     service = Service.SHARED if told.facts.list_on_request else Service.OWN
-    return replace(manner(told, SIGN_MS), service=service)
+    return replace(follower_settings(told, HEARTBEAT_MS), service=service)
 
 
-def rank(e: Entry) -> Rank:
+def server_rank(e: ListedServer) -> Rank:
     return RANKS[e.row.status]
 
 
-def same(a: Entry, b: Entry) -> bool:
+def same_start(a: ListedServer, b: ListedServer) -> bool:
     return (a.row.build, a.row.started_at) == (b.row.build, b.row.started_at)
 
 
-class Fetched:
+class ListFetched:
     """What came of asking for the whole list: the list of one source, or None and why."""
 
     __slots__ = ("said", "why")
 
-    def __init__(self, said: Said[Entry] | None, why: str = ""):
+    def __init__(self, said: Said[ListedServer] | None, why: str = ""):
         self.said, self.why = said, why
 
 
-class Roster(Follower):
+class DiscoveryClient(FollowerActor):
+    ACTOR_NAME = "roster"  # the actor's name in log events
     NAME, ENDED = "list", "watches_ended"
 
-    def __init__(self, told: Told, counters: Counters, log: Log, post: Post):
+    def __init__(self, told: NodeConfig, counters: Counters, log: Log, post: FollowerContext):
         self.lease = ListLease(Terms.of(told.facts))
-        super().__init__(told.discovery, list_manner(told), told, counters, log, post)
+        super().__init__(told.discovery, list_follower_settings(told), told, counters, log, post)
         self.following.lease = self.lease
         self.words = (told.zones, told.kinds)
-        self.book: Book[Entry] = Book(rank, same)
+        self.book: Book[ListedServer] = Book(server_rank, same_start)
         self.book.remember(told.known.version, {e.word: e for e in told.known.entries})
-        self.pacing = Asking(list_manner(told), Random(told.seed + 1).random)
+        self.pacing = Asking(list_follower_settings(told), Random(told.seed + 1).random)
         self.sources: dict[int, int] = {}  # of each stream that is held; emptied as each ends
-        self.objects: dict[int, ObjectLines] = {}  # of each stream that is held; emptied with ``sources``
+        self.objects: dict[
+            int, JsonObjectReader
+        ] = {}  # of each stream that is held; emptied with ``sources``
         self.fetching = False
 
     def open(self, number: int) -> Stream:
         self.sources[number] = self.following.source
         return Stream(number, f"/api/targets?watch=1&after={self.book.version}", self)
 
-    def said(self, text: bytes, source: int) -> Said[Entry]:
+    def said(self, text: bytes, source: int) -> Said[ListedServer]:
         """A list in discovery's form. Raises where nothing of it can be read."""
-        m = loads(text)
-        read, unclear = entries(m["instances"], *self.words)
-        return Said(source, count(m["generation"]), bool(m["reset"]), read, unclear)
+        m = json_object(text)
+        read, unclear = listed_servers(m["instances"], *self.words)
+        return Said(source, non_negative_int(m["generation"]), bool(m["reset"]), read, unclear)
 
     def line(self, stream: Stream, text: bytes) -> None:
-        whole = self.objects.setdefault(stream.number, ObjectLines(BEGINS)).take(text)
+        whole = self.objects.setdefault(stream.number, JsonObjectReader(LIST_KEY)).take(text)
         if whole is None:
             return
         said = self.said(whole, self.sources[stream.number])
@@ -109,7 +120,7 @@
         super().seen(act)
         self.deliver(i.ListFreshnessChanged(act.sight, act.since))
 
-    def apply(self, change: Change[Entry] | None, watched: bool = False) -> None:
+    def apply(self, change: Change[ListedServer] | None, watched: bool = False) -> None:
         """What a list changes goes to the module; a whole list is asked for where one is wanted."""
         if change is None:
             return
@@ -119,7 +130,7 @@
             rows.append(self.book.known[word].draining())
         if change.whole or rows:
             kind = i.ListKind.WHOLE if change.whole else i.ListKind.CHANGES
-            self.deliver(Listing(self.book.version, kind, rows, watched and not change.whole))
+            self.deliver(ServerListing(self.book.version, kind, rows, watched and not change.whole))
             by_status = Counter(e.row.status.name.lower() for e in rows)
             self.log("list applied", version=self.book.version, whole=change.whole, **by_status)
         if change.ask and not self.fetching:
@@ -129,30 +140,30 @@
             source = self.following.source
             gevent.spawn_later(pause / 1000, lambda: self.post(self.fetch(source)))
 
-    def fetch(self, source: int) -> Fetched:
+    def fetch(self, source: int) -> ListFetched:
         """The whole list, in one call of its own."""
-        sock, answers = None, head.Answers(most=LINE_LIMIT)  # as long as on a watch's one line
+        sock, answers = None, http1.ResponseParser(most=MAX_LINE_BYTES)  # as long as on a watch's one line
         self.counters.add("lists_fetched")
         try:
-            with gevent.Timeout(FETCH_S, TimeoutError):
-                sock = socket.create_connection(self.at, CONNECT_S)
-                head.write(sock, head.call("GET", "/api/targets", head.host(self.at)))
+            with gevent.Timeout(FETCH_TIMEOUT_S, TimeoutError):
+                sock = socket.create_connection(self.at, CONNECT_TIMEOUT_S)
+                http1.send(sock, http1.request_parts("GET", "/api/targets", http1.host_header(self.at)))
                 while not answers.complete:
-                    data = head.read(sock)
+                    data = http1.receive(sock)
                     if not data:
-                        return Fetched(None, "ended")
+                        return ListFetched(None, "ended")
                     answers.feed(data)
             if answers.answer.status != 200:
-                return Fetched(None, f"status {answers.answer.status}")
-            return Fetched(self.said(b"".join(answers.answer.body), source))
-        except (OSError, head.Unfit, *UNREADABLE) as error:
-            return Fetched(None, f"{type(error).__name__}: {error}")
+                return ListFetched(None, f"status {answers.answer.status}")
+            return ListFetched(self.said(b"".join(answers.answer.body), source))
+        except (OSError, http1.HttpError, *DECODE_ERRORS) as error:
+            return ListFetched(None, f"{type(error).__name__}: {error}")
         finally:
             if sock is not None:
                 sock.close()
 
     def other(self, message: object) -> None:
-        if not isinstance(message, Fetched):
+        if not isinstance(message, ListFetched):
             return super().other(message)
         self.fetching = False
         if message.said is None:
--- a/myrtleroad/net/brain.py
+++ b/myrtleroad/net/dispatcher.py
@@ -14,34 +14,45 @@
 from myrtleroad.answers.entry import Entry, Word
 from myrtleroad.facts import LOAD
 from myrtleroad.life import Life
-from myrtleroad.net import reply
-from myrtleroad.net.actor import fault, keep
+from myrtleroad.net import response
+from myrtleroad.net.actor import keep_running, report_fault
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.ending import Answer
-from myrtleroad.net.head import Message
-from myrtleroad.net.log import Log, Scarce
-from myrtleroad.net.lookout import Lookout
-from myrtleroad.net.machine import CallOff, Go, Job, Leave, Machine, Moved, Share, TryEnded
-from myrtleroad.net.told import Address, Listing, Told
+from myrtleroad.net.exchange_result import UpstreamResponse
+from myrtleroad.net.http1 import Message
+from myrtleroad.net.log import Log, RateLimitedWarnings
+from myrtleroad.net.node_config import Address, NodeConfig, ServerListing
+from myrtleroad.net.stream_poller import StreamPoller
+from myrtleroad.net.upstream_server import (
+    AttemptJob,
+    AttemptResult,
+    ConnectionBudget,
+    ServerAddressChanged,
+    ServerRemoved,
+    StartAttempt,
+    StopAttempt,
+    UpstreamServer,
+)
 from myrtleroad.policy.balancer import Balancer
 
-APART = 24  # descriptors for all else: log, clock, both streams, twice while they move, a vote, some to spare
-MOST_HELD = 1e6  # reqs that no machine holds: a report past it, or not a number, is none
-OPEN = i.ServerStatus.IN_SERVICE
-NUDGE = None  # in the mailbox: something waits in the lane
-SLACK_MS = 50.0  # what every limit of time is longer by on sockets (protocol)
-TURN_MS = 50.0  # half a tick, then others get a turn: a full mailbox alone never lets them have one
-BEHIND_MS = 100.0  # a whole tick of the module's
-WAKE = None  # the timer of the module's own wake-up; others belong to a req
+RESERVED_DESCRIPTORS = (
+    24  # descriptors for all else: log, clock, both streams, twice while they move, a vote, some to spare
+)
+MAX_REPORTED_LOAD = 1e6  # reqs that no machine holds: a report past it, or not a number, is none
+IN_SERVICE = i.ServerStatus.IN_SERVICE
+WAKE_MAILBOX = None  # in the mailbox: something waits in the lane
+DEADLINE_SLACK_MS = 50.0  # what every limit of time is longer by on sockets (protocol)
+YIELD_AFTER_MS = 50.0  # half a tick, then others get a turn: a full mailbox alone never lets them have one
+LATE_WARNING_MS = 100.0  # a whole tick of the module's
+DECISION_WAKEUP = None  # the timer of the module's own wake-up; others belong to a req
 
 
-def txn(message: Message) -> str:
+def request_id(message: Message) -> str:
     """The id that a client gave its request."""
     return (message.header(b"x-txn") or b"").decode("latin-1")
 
 
-def reported(header: bytes | None) -> float | None:
+def reported_load(header: bytes | None) -> float | None:
     """``TEXT name=value, name=value``; what cannot be read is no report."""
     form, _, text = (header or b"").decode("latin-1").partition(" ")
     if form != "TEXT":
@@ -51,57 +62,63 @@
         value = float({name.strip(): value for name, _, value in pairs}[LOAD])
     except (KeyError, ValueError):
         return None
-    return value if 0 <= value < MOST_HELD else None
+    return value if 0 <= value < MAX_REPORTED_LOAD else None
 
 
 @dataclass(slots=True)
-class Taken:
+class RequestReceived:
     rq: i.Request
     message: Message
     at: float
-    answer: Callable[[reply.Reply], None]
+    answer: Callable[[response.Response], None]
     age: float = 0.0  # ms that it had waited before it was read
 
 
 @dataclass(slots=True)
-class Gone:
+class ClientGone:
     ident: int
 
 
 @dataclass(slots=True)
-class Open:
+class OpenRequest:
     """One open req: its life in the module, and whom its answer is for."""
 
     life: Life
-    taken: Taken
+    taken: RequestReceived
     sent: list[int] = field(default_factory=list)  # the machine of each try
 
 
-class Brain:
-    def __init__(self, told: Told, clock: Clock, counters: Counters, log: Log):
+class Dispatcher:
+    ACTOR_NAME = "brain"  # the actor's name in log events
+
+    def __init__(self, told: NodeConfig, clock: Clock, counters: Counters, log: Log):
         self.told, self.clock, self.counters, self.log = told, clock, counters, log
         self.mailbox: SimpleQueue = SimpleQueue()
         self.lane: deque[object] = deque()  # lists and news, ahead of the mailbox; emptied by ``hear``
-        self.ends: deque[TryEnded] = deque()  # of tries, ahead of reqs not yet taken; emptied by ``settle``
+        self.ends: deque[AttemptResult] = (
+            deque()
+        )  # of tries, ahead of reqs not yet taken; emptied by ``settle``
         self.off = 0  # reqs by which the account was off as last told
         self.look_at = 0.0  # when open reqs are next looked over for one that nothing has ended
-        self.lookout = Lookout()
+        self.lookout = StreamPoller()
         self.balancer = Balancer(told.facts, told.seed, clock())
-        self.open: dict[int, Open] = {}  # emptied as each req ends
+        self.open: dict[int, OpenRequest] = {}  # emptied as each req ends
         self.ids: Counter[bytes] = Counter()  # of open reqs and of tries that are out; emptied as each ends
         self.timers: list[tuple[float, int, Life | None, int]] = []  # emptied as each timer rings
         self.timer_no = 0
         self.index: dict[str, int] = {}  # machine words; grows with the fleet, never with reqs
         self.names: list[str] = []  # the word of each number in ``index``
-        self.machines: dict[int, Machine] = {}  # emptied as machines leave the list
+        self.machines: dict[int, UpstreamServer] = {}  # emptied as machines leave the list
         self.places: dict[int, tuple[Address, float]] = {}  # address and start of each, emptied with them
         self.stage: tuple[int, int, str, float] | None = None  # the last one told, for the log
-        self.share = Share((told.sockets - APART) // 2)  # the other half is for clients
+        self.share = ConnectionBudget(
+            (told.sockets - RESERVED_DESCRIPTORS) // 2
+        )  # the other half is for clients
         self.aside: tuple[frozenset[str], frozenset[int]] = (frozenset(), frozenset())  # machines, zones
         self.on_news: Callable[[], None] = lambda: None  # after the stage's news has reached the module
         self.list_age: Callable[[float], float] = lambda now: 0.0
         self.vote: Callable[[i.Vote], None] = lambda act: None
-        self.overdue, self.behind = Scarce(log), Scarce(log, 1)
+        self.overdue, self.behind = RateLimitedWarnings(log), RateLimitedWarnings(log, 1)
         self.entry = Entry(r.objective_ms for r in told.facts.routes)
         self.lag = 0.0  # ms that the last message or timer came after its time
         self.clients: Callable[[], int] = lambda: 0  # connections held, for the log
@@ -109,7 +126,7 @@
     def run(self) -> None:
         turn = self.clock()
         while True:
-            if self.clock() - turn > TURN_MS:
+            if self.clock() - turn > YIELD_AFTER_MS:
                 gevent.sleep(0)
                 turn = self.clock()
             wait = (self.timers[0][0] - self.clock()) / 1000 if self.timers else 1.0
@@ -121,53 +138,53 @@
                 message = self.mailbox.get()
             self.hear()
             self.settle()
-            if message is not NUDGE:
+            if message is not WAKE_MAILBOX:
                 self.handle(message)
             self.ring(self.clock())
             self.expire(self.clock())
 
-    def end(self, message: TryEnded) -> None:
+    def end(self, message: AttemptResult) -> None:
         """A try's ending goes ahead of reqs not yet taken: behind thousands of them the answer that it brings
         would be late, and the open req hold its place for nothing."""
         self.ends.append(message)
-        self.mailbox.put(NUDGE)
+        self.mailbox.put(WAKE_MAILBOX)
 
     def settle(self) -> None:
         while self.ends:
             self.handle(self.ends.popleft())
 
-    def handle(self, message: Taken | TryEnded | Gone) -> None:
+    def handle(self, message: RequestReceived | AttemptResult | ClientGone) -> None:
         """A fault ends the req that it happened to, at once and as failed, and no other."""
         if self.guard("message", self.take, message, self.clock()):
             return
-        if isinstance(message, TryEnded):
+        if isinstance(message, AttemptResult):
             if held := self.open.get(message.job.ident):
                 held.life.end()
-                self.answer(held, reply.errored())
-        elif isinstance(message, Taken) and message.rq.id not in self.open:
-            message.answer(reply.errored())
+                self.answer(held, response.bad_gateway())
+        elif isinstance(message, RequestReceived) and message.rq.id not in self.open:
+            message.answer(response.bad_gateway())
 
     def expire(self, now: float) -> None:
         """The one owner of every open req's time: what nothing else has ended is answered as failed. A try's
         own timeout comes first; this guards against an ending that never comes, as after a fault."""
         if now < self.look_at:
             return
-        self.look_at = now + SLACK_MS
+        self.look_at = now + DEADLINE_SLACK_MS
         lost = off(self.counters.counts, len(self.open))
         if lost != self.off:
             # Guards against a req that leaves the account unseen: told once a change, not once a look.
             self.counters.add("account_off", abs(lost - self.off))
             self.log("account off", level="warning", reqs=lost, open=len(self.open))
             self.off = lost
-        for held in [x for x in self.open.values() if now > x.taken.rq.deadline + SLACK_MS]:
+        for held in [x for x in self.open.values() if now > x.taken.rq.deadline + DEADLINE_SLACK_MS]:
             self.counters.add("reqs_expired")
             held.life.end()
-            self.answer(held, reply.errored())
+            self.answer(held, response.bad_gateway())
 
     def tell(self, message: object) -> None:
         """Lists and news go ahead of reqs: into the lane, not behind what waits in the mailbox."""
         self.lane.append(message)
-        self.mailbox.put(NUDGE)
+        self.mailbox.put(WAKE_MAILBOX)
 
     def hear(self) -> None:
         """Everything told so far reaches the module now, the bytes included that no greenlet has read yet.
@@ -179,7 +196,7 @@
     def start(self) -> None:
         """Once, before ``run``: what the front is told at its start reaches the module."""
         now = self.clock()
-        self.set_timer(now, WAKE, 0)
+        self.set_timer(now, DECISION_WAKEUP, 0)
         self.guard("list", self.listed, self.told.known, now)
         self.take(self.told.news, now)
 
@@ -189,22 +206,22 @@
             call(*args)
             return True
         except Exception as error:
-            fault(event, error, self.counters, self.log)
+            report_fault(event, error, self.counters, self.log)
             return False
 
     def take(self, message: object, now: float) -> None:
         match message:
-            case Taken():
+            case RequestReceived():
                 self.late_by("longest_delay_ms", now - message.at, now)
                 self.taken(message, now)
-            case TryEnded():
+            case AttemptResult():
                 self.ended(message, now)
-            case Gone(ident):
+            case ClientGone(ident):
                 if held := self.open.pop(ident, None):
                     held.life.end()
                     self.let_go(held.taken.message)
                     self.counters.add("reqs_gone")
-            case Listing():
+            case ServerListing():
                 self.counters.add("lists")
                 self.guard("list", self.listed, message, now)
             case i.SettingsNarrowed():
@@ -219,9 +236,9 @@
         while self.timers and self.timers[0][0] <= now:
             due, _, life, wait = heapq.heappop(self.timers)
             self.late_by("latest_timer_ms", now - due, now)
-            if life is WAKE:
+            if life is DECISION_WAKEUP:
                 if not self.guard("wake", lambda: self.act(self.balancer.wake(now), now)):
-                    self.set_timer(now + 100.0, WAKE, 0)  # a fault must not end the module's clock
+                    self.set_timer(now + 100.0, DECISION_WAKEUP, 0)  # a fault must not end the module's clock
             elif life.wait == wait and life.ident in self.open:
                 self.resume(self.open[life.ident], None, now)
 
@@ -229,7 +246,7 @@
         """How long what is taken up now has waited for this actor."""
         self.lag = lag
         self.counters.high(what, lag)
-        if lag > BEHIND_MS:
+        if lag > LATE_WARNING_MS:
             out, waiting = self.share.open, self.mailbox.qsize()
             state = dict(open=len(self.open), clients=self.clients(), links=out, mailbox=waiting)
             self.behind("behind", now, what=what, lag_ms=round(lag, 1), **state)
@@ -246,24 +263,24 @@
         self.timer_no += 1
         heapq.heappush(self.timers, (at, self.timer_no, life, wait))
 
-    def taken(self, message: Taken, now: float) -> None:
+    def taken(self, message: RequestReceived, now: float) -> None:
         rq, word = message.rq, message.message.header(b"x-txn")
         unread = self.entry.word(message.age + now - message.at, rq.deadline - now, now)
         if unread != Word.TAKE:
             self.counters.add(f"reqs_waited_{unread.name.lower()}")
-            message.answer(reply.full(self.told.facts))
+            message.answer(response.overloaded(self.told.facts))
             return
         if word in self.ids:
             # Guards against a second copy: this id is another client's, and its tries may still run.
-            message.answer(reply.unfit(409))
+            message.answer(response.rejected(409))
             return
         self.ids[word] = 1
         self.counters.add("reqs_taken")
-        held = Open(Life(rq.id, self.balancer.serve(rq, now)), message)
+        held = OpenRequest(Life(rq.id, self.balancer.serve(rq, now)), message)
         self.open[rq.id] = held
         self.resume(held, None, now)
 
-    def ended(self, message: TryEnded, now: float) -> None:
+    def ended(self, message: AttemptResult, now: float) -> None:
         job = message.job
         self.let_go(job.message)
         held = self.open.get(job.ident)
@@ -276,7 +293,7 @@
         self.guard("try ended", self.balancer.observe, job.ident, ended, now)
         if held and done:
             held.life.end()
-            self.answer(held, reply.completed(message.result))
+            self.answer(held, response.completed(message.result))
         elif held:
             self.resume(held, ended, now)
 
@@ -286,54 +303,54 @@
         if self.ids[word] <= 0:
             del self.ids[word]
 
-    def load(self, message: TryEnded) -> float | None:
+    def load(self, message: AttemptResult) -> float | None:
         """What the machine's load report, if it sent one, says of the reqs it holds."""
-        if self.told.facts.load_column is None or not isinstance(message.result, Answer):
+        if self.told.facts.load_column is None or not isinstance(message.result, UpstreamResponse):
             return None
-        return reported(message.result.header(b"x-pressure"))
+        return reported_load(message.result.header(b"x-pressure"))
 
-    def resume(self, held: Open, ended: i.AttemptEnded | None, now: float) -> None:
+    def resume(self, held: OpenRequest, ended: i.AttemptEnded | None, now: float) -> None:
         try:
             for act in held.life.resume(ended, now):
                 self.carry_out(held, act, now)
         except Exception as error:
-            fault("req", error, self.counters, self.log)
+            report_fault("req", error, self.counters, self.log)
             held.life.end()
         if held.life.over:
             if held.life.ident in self.open:
-                self.answer(held, reply.errored())
+                self.answer(held, response.bad_gateway())
         elif held.life.patience is not None:
             self.set_timer(now + held.life.patience, held.life, held.life.wait)
 
-    def carry_out(self, held: Open, act: i.Action, now: float) -> None:
+    def carry_out(self, held: OpenRequest, act: i.Action, now: float) -> None:
         match act:
             case i.SendAttempt():
                 self.send(held, act, now)
             case i.Shed():
-                self.answer(held, reply.shed(act.retry_after_ms))
+                self.answer(held, response.shed(act.retry_after_ms))
             case i.Fail():
-                self.answer(held, reply.errored())
+                self.answer(held, response.bad_gateway())
             case i.CancelAttempt():
                 if machine := self.machines.get(held.sent[act.attempt_number]):
-                    machine.mailbox.put(CallOff(held.life.ident, act.attempt_number))
+                    machine.mailbox.put(StopAttempt(held.life.ident, act.attempt_number))
             case _:
                 raise TypeError(f"no action of a req: {act!r}")
 
-    def send(self, held: Open, act: i.SendAttempt, now: float) -> None:
+    def send(self, held: OpenRequest, act: i.SendAttempt, now: float) -> None:
         row = self.balancer.machines[act.server].row
         ends_at = min(now + act.timeout_ms, held.taken.rq.deadline)
         ticket = (row.build, row.started_at, self.cap(row.build))
         number, message = len(held.sent), held.taken.message
-        job = Job(held.life.ident, number, act.server, message, now, ends_at, ticket)
+        job = AttemptJob(held.life.ident, number, act.server, message, now, ends_at, ticket)
         held.sent.append(act.server)
         self.ids[message.header(b"x-txn")] += 1
         self.counters.add("tries")
-        self.machines[act.server].mailbox.put(Go(job))
+        self.machines[act.server].mailbox.put(StartAttempt(job))
 
     def cap(self, build: int) -> float:
         return self.balancer.cap(build)[0] if self.balancer.on_trial(build) else float("inf")
 
-    def stands(self, job: Job) -> bool:
+    def stands(self, job: AttemptJob) -> bool:
         """Whether what the list and the news said when the module chose the machine still holds, after all
         that has been told by now. Asked directly before the first byte."""
         self.hear()
@@ -354,38 +371,38 @@
         self.note_attempt(job, age)
         return True
 
-    def note_attempt(self, job: Job, list_age: float) -> None:
+    def note_attempt(self, job: AttemptJob, list_age: float) -> None:
         """Names the request, its server and the age of the list that it goes by."""
         if self.log.writes("debug"):
-            what = dict(txn=txn(job.message), attempt=job.try_no, server=self.names[job.machine])
+            what = dict(txn=request_id(job.message), attempt=job.try_no, server=self.names[job.machine])
             self.log("attempt", level="debug", list_age_ms=round(list_age, 1), **what)
 
-    def answer(self, held: Open, final: reply.Reply) -> None:
+    def answer(self, held: OpenRequest, final: response.Response) -> None:
         if self.open.pop(held.life.ident, None):
             self.let_go(held.taken.message)
             self.counters.add(f"reqs_{final.kind}")
             if self.log.writes("debug"):
-                what = dict(txn=txn(held.taken.message), kind=final.kind, attempts=len(held.sent))
+                what = dict(txn=request_id(held.taken.message), kind=final.kind, attempts=len(held.sent))
                 self.log("answer", level="debug", **what)
             held.taken.answer(final)
             self.note_overdue(held, final.kind, self.clock())
 
-    def note_overdue(self, held: Open, kind: str, now: float) -> None:
+    def note_overdue(self, held: OpenRequest, kind: str, now: float) -> None:
         """An answer after its req's time names the req, so that one lost can be followed."""
         over = now - held.taken.rq.deadline
-        if over <= SLACK_MS:
+        if over <= DEADLINE_SLACK_MS:
             return
         self.counters.add("answers_overdue")
         held_ms = now - held.taken.at
         times = dict(over_ms=round(over, 1), held_ms=round(held_ms, 1), lag_ms=round(self.lag, 1))
-        what = dict(txn=txn(held.taken.message), kind=kind, tries=len(held.sent))
+        what = dict(txn=request_id(held.taken.message), kind=kind, tries=len(held.sent))
         self.overdue("answer overdue", now, **what, **times)
 
     def act(self, actions: Iterable[i.Action], now: float) -> None:
         for act in actions:
             match act:
                 case i.WakeAt(at):
-                    self.set_timer(at, WAKE, 0)
+                    self.set_timer(at, DECISION_WAKEUP, 0)
                 case i.Vote():
                     self.counters.add("votes")
                     self.log("vote", build=act.build, verdict=act.verdict.name, stage=act.stage)
@@ -395,14 +412,14 @@
                 case _:
                     raise TypeError(f"not carried out here: {act!r}")
 
-    def note_starts(self, listing: Listing, now: float) -> None:
+    def note_starts(self, listing: ServerListing, now: float) -> None:
         """Starts that this listing is the first to tell."""
         for entry in listing.entries:
             known = self.places.get(self.index.get(entry.word, -1))
             if known is None or known[1] != entry.row.started_at:
                 self.balancer.start_clock.told(entry.row.started_at, now, listing.watched)
 
-    def listed(self, listing: Listing, now: float) -> None:
+    def listed(self, listing: ServerListing, now: float) -> None:
         """The list reaches the module and the machines' actors before any send that follows it."""
         self.note_starts(listing, now)
         for e in listing.entries:
@@ -413,18 +430,20 @@
             place = (e.address, e.row.started_at)
             if number not in self.machines:
                 args = (self.told, self.clock, self.counters, self.share, self.end, self.stands)
-                actor = self.machines[number] = Machine(e.address, *args)
-                gevent.spawn(keep, "machine", actor.run, self.counters, self.log)
+                actor = self.machines[number] = UpstreamServer(e.address, *args)
+                gevent.spawn(keep_running, "machine", actor.run, self.counters, self.log)
             elif self.places[number] != place:
-                self.machines[number].mailbox.put(Moved(e.address))
+                self.machines[number].mailbox.put(ServerAddressChanged(e.address))
             self.places[number] = place
         words, zones = self.aside
         rows = [
             # What operators set aside drains: it finishes what it has and gets nothing new.
-            e.draining().row if e.row.status == OPEN and (e.word in words or e.row.zone in zones) else e.row
+            e.draining().row
+            if e.row.status == IN_SERVICE and (e.word in words or e.row.zone in zones)
+            else e.row
             for e in listing.entries
         ]
         self.act(self.balancer.listed(i.ServerListUpdate(listing.kind, rows), now), now)
         for number in [n for n in self.machines if n not in self.balancer.machines]:
-            self.machines.pop(number).mailbox.put(Leave())
+            self.machines.pop(number).mailbox.put(ServerRemoved())
             del self.places[number]
--- a/myrtleroad/net/ending.py
+++ b/myrtleroad/net/exchange_result.py
@@ -6,7 +6,7 @@
 from myrtleroad import interface as i
 
 
-class Reach(IntEnum):
+class ExchangeProgress(IntEnum):
     """How far an exchange had come when it broke."""
 
     NOT_CONNECTED = 0
@@ -15,7 +15,7 @@
     BEGUN = 3  # the answer begun and not whole
 
 
-class Cause(StrEnum):
+class FailureCause(StrEnum):
     REFUSED = "refused"  # by the other side
     SHORT = "short"  # by our own system: no descriptor, memory or port left
     TIMEOUT = "timeout"  # we stopped waiting
@@ -27,14 +27,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
-    reach: Reach
-    cause: Cause
+class ExchangeFailure:
+    reach: ExchangeProgress
+    cause: FailureCause
     detail: str = ""
 
 
 @dataclass(slots=True)
-class Answer:
+class UpstreamResponse:
     status: int
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
     body: list[bytes] = field(default_factory=list)
@@ -44,18 +44,18 @@
         return next((v for n, v in self.headers if n.lower() == name), None)
 
 
-def of_try(result: Answer | Broken) -> i.Outcome:
+def outcome_of_attempt(result: UpstreamResponse | ExchangeFailure) -> i.Outcome:
     """What a try's result says; only an ending of ``interface.NEVER_RAN`` says that it cannot have run."""
-    if isinstance(result, Answer):
+    if isinstance(result, UpstreamResponse):
         if result.status == 200:
             return i.Outcome.COMPLETED
         away = result.status in (503, 504) and result.header(b"x-turned-away") == b"1"
         return i.Outcome.FULL if away else i.Outcome.ERRORED
-    if result.cause in (Cause.WITHDRAWN, Cause.OVERDUE, Cause.SHORT):
+    if result.cause in (FailureCause.WITHDRAWN, FailureCause.OVERDUE, FailureCause.SHORT):
         return i.Outcome.MOOT  # not the machine's fault, and never written
-    if result.reach < Reach.WRITTEN:
+    if result.reach < ExchangeProgress.WRITTEN:
         # A machine begins a req once its last byte has arrived, and that byte was never written.
         return i.Outcome.NOT_CONNECTED
-    if result.cause == Cause.TIMEOUT:
+    if result.cause == FailureCause.TIMEOUT:
         return i.Outcome.TIMEOUT
-    return i.Outcome.CANCELLED if result.cause == Cause.CANCELLED else i.Outcome.RESET
+    return i.Outcome.CANCELLED if result.cause == FailureCause.CANCELLED else i.Outcome.RESET
--- a/myrtleroad/net/front.py
+++ b/myrtleroad/net/front.py
@@ -7,51 +7,57 @@
 import gevent
 from gevent.event import Event
 
-from myrtleroad.net.actor import keep
-from myrtleroad.net.brain import Brain
+from myrtleroad.net.actor import keep_running
+from myrtleroad.net.client_listener import ClientListener
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.desk import Bulletin, Desk
-from myrtleroad.net.door import Door
-from myrtleroad.net.log import Log, descriptors, level_of
-from myrtleroad.net.roster import Roster
-from myrtleroad.net.stream import Post
-from myrtleroad.net.told import Moved, Told, Unclear, fixed, read
+from myrtleroad.net.discovery import DiscoveryClient
+from myrtleroad.net.dispatcher import Dispatcher
+from myrtleroad.net.log import Log, level_from_environment, open_descriptors
+from myrtleroad.net.node_config import (
+    AddressChanged,
+    ConfigError,
+    NodeConfig,
+    fields_needing_restart,
+    read_node_config,
+)
+from myrtleroad.net.platform import StageUpdates, VoteCaster
+from myrtleroad.net.stream import FollowerContext
 from myrtleroad.startup import release_signals
 
-LATE_S = 0.45  # new connections keep arriving for up to 0.4 s after SIGTERM
+LATE_CONNECTIONS_S = 0.45  # new connections keep arriving for up to 0.4 s after SIGTERM
 
 
 class Front:
-    def __init__(self, told: Told, log_to: int = 1, own: str | None = None):
+    def __init__(self, told: NodeConfig, log_to: int = 1, own: str | None = None):
         self.told, self.clock, self.counters = told, Clock(), Counters()
         try:
-            level = level_of(os.environ)
+            level = level_from_environment(os.environ)
         except ValueError as error:
-            raise Unclear(str(error)) from None
+            raise ConfigError(str(error)) from None
         self.log = Log(self.clock, log_to, level)
-        self.brain = Brain(told, self.clock, self.counters, self.log)
+        self.brain = Dispatcher(told, self.clock, self.counters, self.log)
         deliver = self.brain.mailbox.put
         tell = self.brain.tell
-        post = Post(self.clock, tell, self.brain.lookout)
-        self.roster = Roster(told, self.counters, self.log, post)
-        self.bulletin = Bulletin(told, self.counters, self.log, post)
+        post = FollowerContext(self.clock, tell, self.brain.lookout)
+        self.roster = DiscoveryClient(told, self.counters, self.log, post)
+        self.bulletin = StageUpdates(told, self.counters, self.log, post)
         self.brain.list_age = self.roster.following.age
         self.brain.balancer.lease = self.roster.lease
         self.started_at = self.clock()
-        self.desk = Desk(told, self.counters, self.log, tell)
+        self.desk = VoteCaster(told, self.counters, self.log, tell)
         self.brain.vote = self.desk.mailbox.put
-        self.door = Door(told, self.clock, self.counters, self.log, deliver, self.is_ready)
+        self.door = ClientListener(told, self.clock, self.counters, self.log, deliver, self.is_ready)
         self.brain.clients = lambda: len(self.door.clients)
         self.stop, self.was_ready = Event(), False
         self.own, self.versions = own, None
         if own is not None:
             # Loaded only where it is wanted: a front without fits its memory as before.
-            from myrtleroad.net import bounds
-            from myrtleroad.net.own import control
+            from myrtleroad.net import operator_limits
+            from myrtleroad.net.front_file import control_address
 
-            if (at := control(own)) is not None:
-                holder = bounds.Holder(told, self.clock, self.brain, self.roster, self.door)
+            if (at := control_address(own)) is not None:
+                holder = operator_limits.OperatorLimits(told, self.clock, self.brain, self.roster, self.door)
                 self.versions = holder.versions(at, self.counters, self.log)
 
     def is_ready(self) -> bool:
@@ -74,9 +80,9 @@
         self.log("start", name=self.told.name, machines=len(self.told.known.entries))
         self.brain.start()
         for actor in (self.log, self.brain, self.roster, self.bulletin, self.desk, self.door):
-            gevent.spawn(keep, type(actor).__name__.lower(), actor.run, self.counters, self.log)
+            gevent.spawn(keep_running, actor.ACTOR_NAME, actor.run, self.counters, self.log)
         if self.versions is not None:
-            gevent.spawn(keep, "versions", self.versions.run, self.counters, self.log)
+            gevent.spawn(keep_running, "versions", self.versions.run, self.counters, self.log)
         gc.collect()
         gc.freeze()  # what is there for good need not be looked through at each collection
         self.stop.wait()
@@ -90,33 +96,33 @@
         """Take up a new configuration: the addresses of discovery and platform go to their actors. One that
         cannot be read changes nothing."""
         try:
-            new = read()
-        except Unclear as fault:
+            new = read_node_config()
+        except ConfigError as fault:
             self.counters.add("reloads_unclear")
             self.log("reload refused", why=str(fault))
             return
         self.counters.add("reloads")
-        kept = fixed(self.told, new)
+        kept = fields_needing_restart(self.told, new)
         self.log("reload", discovery=new.discovery, platform=new.platform, kept_as_started=kept)
-        self.roster.post(Moved(new.discovery))
-        self.bulletin.post(Moved(new.platform))
-        self.desk.mailbox.put(Moved(new.platform))
+        self.roster.post(AddressChanged(new.discovery))
+        self.bulletin.post(AddressChanged(new.platform))
+        self.desk.mailbox.put(AddressChanged(new.platform))
         if self.versions is not None:
-            from myrtleroad.net.own import control
+            from myrtleroad.net.front_file import control_address
 
             try:
-                at = control(self.own)
-            except Unclear as fault:
+                at = control_address(self.own)
+            except ConfigError as fault:
                 self.log("reload refused", why=str(fault))
                 return
             if at is not None:
-                self.versions.mailbox.put(Moved(at))
+                self.versions.mailbox.put(AddressChanged(at))
 
     def drain(self) -> None:
         """Answer whatever comes while connections may still arrive, then what is held, then end."""
         self.log("stopping", open=len(self.brain.open))
         self.door.stopping = True
-        gevent.sleep(LATE_S)
+        gevent.sleep(LATE_CONNECTIONS_S)
         last = self.clock() + max(r.timeout_ms for r in self.told.facts.routes)  # for reqs half come
         self.door.shut(last)
         while self.brain.open or (self.clock() < last and not all(c.idle for c in self.door.clients)):
@@ -126,6 +132,6 @@
         self.log.flush()
 
     def show(self) -> None:
-        held, open_now, dropped = len(self.brain.open), descriptors(), self.log.dropped
+        held, open_now, dropped = len(self.brain.open), open_descriptors(), self.log.dropped
         counts = self.counters.shown()
         self.log("counters", open=held, descriptors=open_now, log_dropped=dropped, counts=counts)
--- a/myrtleroad/net/own.py
+++ b/myrtleroad/net/front_file.py
@@ -4,23 +4,23 @@
 
 from myrtleroad.config.document import read
 from myrtleroad.config.schema import FRONT, Check
-from myrtleroad.net.told import Address, Unclear, address
+from myrtleroad.net.node_config import Address, ConfigError, parse_address
 
 
-def control(file: str) -> Address | None:
+def control_address(file: str) -> Address | None:
     """The control service that the file names, None where it names none. Raises Unclear, one line a fault."""
     try:
         nodes, faults = read(Path(file).read_bytes())
     except OSError as error:
-        raise Unclear(f"{file}: {error}") from None
+        raise ConfigError(f"{file}: {error}") from None
     check = Check(nodes, FRONT)
     for _ in check.steps():
         pass
     if faults := faults + check.faults:
-        raise Unclear("\n".join(f.said(file) for f in faults))
+        raise ConfigError("\n".join(f.said(file) for f in faults))
     for root in check.roots:
         try:
-            return address(str(root.arg))
+            return parse_address(str(root.arg))
         except ValueError as error:
-            raise Unclear(f"{file}:{root.node.line}:{root.node.column}: {error}") from None
+            raise ConfigError(f"{file}:{root.node.line}:{root.node.column}: {error}") from None
     return None
--- a/myrtleroad/net/head.py
+++ b/myrtleroad/net/http1.py
@@ -9,28 +9,28 @@
 import httptools
 from gevent import socket
 
-from myrtleroad.net.ending import Answer
+from myrtleroad.net.exchange_result import UpstreamResponse
 
 # One buffer for every connection: bytes are parsed as soon as they are read, with no switch between.
 BUFFER = bytearray(64 * 1024)
-VIEW = memoryview(BUFFER)
+BUFFER_VIEW = memoryview(BUFFER)
 HEAD_LIMIT = 16 * 1024  # what common servers allow
 BODY_LIMIT = 64 * 1024  # the protocol's
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))
-HOP = frozenset(  # what belongs to one connection
+HOP_BY_HOP = frozenset(  # what belongs to one connection
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect".split(b" ")
 )
-FRAMING = b"content-length"  # written anew
-CODING = b"transfer-encoding"
-END = b"\r\n\r\n"  # of a head
-PASSING = frozenset(
+CONTENT_LENGTH = b"content-length"  # written anew
+TRANSFER_ENCODING = b"transfer-encoding"
+HEAD_END = b"\r\n\r\n"  # of a head
+TRANSIENT_ERRNOS = frozenset(
     (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM)
 )  # the connection stands all the same
-PAUSE_S = 0.01  # before the next try of a call that failed so
+RETRY_DELAY_S = 0.01  # before the next try of a call that failed so
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class Unfit(Exception):
+class HttpError(Exception):
     """What came cannot be read as a req or an answer; ``status`` is what a client is told. It stops at
     the connection."""
 
@@ -66,7 +66,7 @@
         return None if name in self.repeated else self.fields.get(name)
 
 
-class Requests:
+class RequestParser:
     """Reads reqs from the bytes of one client connection, one at a time."""
 
     def __init__(self) -> None:
@@ -103,11 +103,11 @@
             except httptools.HttpParserUpgrade:
                 # An offer of another protocol may be passed over (RFC 9110, 7.8); this parser has ended.
                 if not self.whole:
-                    raise Unfit(400) from None
+                    raise HttpError(400) from None
                 self.parser = httptools.HttpRequestParser(self)
             except httptools.HttpParserError:
                 if not self.whole:
-                    raise Unfit(self.status) from None
+                    raise HttpError(self.status) from None
                 self.message.keep = False  # noise right behind a chunked body
             at += size
         return at
@@ -117,12 +117,12 @@
         a client that sends hundreds at once: what waits is bytes, bounded by one read."""
         if self.in_head:
             seen = self.tail + bytes(data[:HEAD_LIMIT])
-            end = seen.find(END)
-            size = (end + len(END) if end >= 0 else len(seen)) - len(self.tail)
-            self.tail = b"" if end >= 0 else seen[1 - len(END) :]
+            end = seen.find(HEAD_END)
+            size = (end + len(HEAD_END) if end >= 0 else len(seen)) - len(self.tail)
+            self.tail = b"" if end >= 0 else seen[1 - len(HEAD_END) :]
             self.size += size
             if self.size > HEAD_LIMIT:
-                raise Unfit(431)
+                raise HttpError(431)
             return size
         if self.left:
             size = min(self.left, len(data))
@@ -151,13 +151,13 @@
         message.method = self.parser.get_method()
         if self.parser.get_http_version() not in ("1.0", "1.1"):
             self.fail(505)
-        length, coding = message.header(FRAMING), message.header(CODING)
-        if coding is not None and (coding.lower() != b"chunked" or CODING in message.repeated):
+        length, coding = message.header(CONTENT_LENGTH), message.header(TRANSFER_ENCODING)
+        if coding is not None and (coding.lower() != b"chunked" or TRANSFER_ENCODING in message.repeated):
             self.fail(501)  # the body would go on in a coding that nobody undoes
         if coding is not None and length is not None:
             self.fail(400)  # one of the two hides another req (RFC 9112, 6.1); the parser refuses it too
         if length is not None:
-            if not length.isdigit() or len(length) > 19 or FRAMING in message.repeated:
+            if not length.isdigit() or len(length) > 19 or CONTENT_LENGTH in message.repeated:
                 self.fail(400)
             self.left = int(length)
             if self.left > BODY_LIMIT:
@@ -169,7 +169,7 @@
 
     def fail(self, status: int) -> None:
         self.status = status
-        raise Unfit(status)
+        raise HttpError(status)
 
     def on_body(self, data: bytes) -> None:
         if self.whole:
@@ -185,7 +185,7 @@
             self.message.keep = self.message.keep and self.parser.should_keep_alive()
 
 
-class Answers:
+class ResponseParser:
     """Reads the answers of one connection to a peer: each whole, of ``most`` bytes of body, or as a stream
     whose pieces are taken as they come."""
 
@@ -195,7 +195,7 @@
         self.reset()
 
     def reset(self) -> None:
-        self.answer, self.complete, self.in_head = Answer(0), False, True
+        self.answer, self.complete, self.in_head = UpstreamResponse(0), False, True
         self.size, self.held = 0, 0  # bytes of the head, 1xx answers ahead of it included; of the body
 
     def feed(self, data: memoryview) -> None:
@@ -207,10 +207,10 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self.complete:
-                raise Unfit(502) from None
+                raise HttpError(502) from None
             self.answer.keep = False
         if self.in_head and self.size > HEAD_LIMIT:
-            raise Unfit(502)  # a head without end
+            raise HttpError(502)  # a head without end
 
     def on_message_begin(self) -> None:
         if self.complete:
@@ -228,38 +228,38 @@
         if 100 <= status < 200 and status != 101:
             return
         self.in_head = False
-        coding, length = answer.header(CODING), answer.header(FRAMING)
+        coding, length = answer.header(TRANSFER_ENCODING), answer.header(CONTENT_LENGTH)
         # Not framed is framed by its close (RFC 9112, 6.3): cut short it would look whole, so it is not read.
         framed = length is not None or status in (204, 304)
         if not 200 <= status < 600 or not (framed if coding is None else coding.lower() == b"chunked"):
-            raise Unfit(502)
+            raise HttpError(502)
         if length is not None and int(length) > self.most:
-            raise Unfit(502)
+            raise HttpError(502)
 
     def on_body(self, data: bytes) -> None:
         if self.complete:
             return
         self.held += len(data)
         if self.held > self.most and not self.stream:
-            raise Unfit(502)
+            raise HttpError(502)
         self.answer.body.append(data)
 
     def on_message_complete(self) -> None:
         if self.complete:
             return
         if self.in_head:
-            self.answer = Answer(0)  # a 1xx answer ahead of the one that counts
+            self.answer = UpstreamResponse(0)  # a 1xx answer ahead of the one that counts
             return
         self.answer.keep = self.answer.keep and self.parser.should_keep_alive()
         self.complete = True
 
 
-def forwarded(message: Message, remaining_ms: int) -> list[bytes]:
+def forwarded_request(message: Message, remaining_ms: int) -> list[bytes]:
     """The parts of a req as it goes on to a machine: unchanged but for framing and the time left."""
     parts = [message.method, b" ", message.target, b" HTTP/1.1\r\n"]
     for name, value in message.headers:
         low = name.lower()
-        if low not in HOP and low not in (FRAMING, b"x-remaining-ms"):
+        if low not in HOP_BY_HOP and low not in (CONTENT_LENGTH, b"x-remaining-ms"):
             parts += (name, b": ", value, b"\r\n")
     parts.append(b"X-Remaining-Ms: %d\r\n" % remaining_ms)
     if message.body or message.method != b"GET":
@@ -268,11 +268,11 @@
     return [b"".join(parts), message.body]
 
 
-def host(at: tuple[str, int]) -> str:
+def host_header(at: tuple[str, int]) -> str:
     return f"{at[0]}:{at[1]}"
 
 
-def call(method: str, target: str, host: str, body: bytes = b"") -> list[bytes]:
+def request_parts(method: str, target: str, host: str, body: bytes = b"") -> list[bytes]:
     """A call of our own on discovery or the platform."""
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n"
     if body:
@@ -280,7 +280,7 @@
     return [f"{head}\r\n".encode(), body]
 
 
-def write(sock: socket.socket, parts: list[bytes]) -> None:
+def send(sock: socket.socket, parts: list[bytes]) -> None:
     """One gathered write, and what the system did not take of it after that."""
     sent = sock.sendmsg(parts)
     left = sum(map(len, parts)) - sent
@@ -288,45 +288,45 @@
         sock.sendall(b"".join(parts)[sent:])
 
 
-def write_now(sock: socket.socket, parts: list[bytes]) -> bytes:
+def send_nowait(sock: socket.socket, parts: list[bytes]) -> bytes:
     """One gathered write that never waits; what the system did not take of it."""
     try:
         sent = sock.sendmsg(parts, (), socket.MSG_DONTWAIT)
     except OSError as error:
-        if error.errno not in PASSING:
+        if error.errno not in TRANSIENT_ERRNOS:
             raise
         sent = 0
     return b"".join(parts)[sent:] if sent < sum(map(len, parts)) else b""
 
 
-def write_all(sock: socket.socket, data: bytes, within_s: float = math.inf) -> None:
+def send_all(sock: socket.socket, data: bytes, within_s: float = math.inf) -> None:
     """Writes everything, as the system has buffers for it. Raises TimeoutError past ``within_s``."""
     end = time.monotonic() + within_s
     while data:
         try:
             data = data[sock.send(data) :]
         except OSError as error:
-            if error.errno not in PASSING:
+            if error.errno not in TRANSIENT_ERRNOS:
                 raise
             if time.monotonic() >= end:
                 raise TimeoutError("timed out") from None
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(RETRY_DELAY_S)
 
 
-def read(sock: socket.socket) -> memoryview:
+def receive(sock: socket.socket) -> memoryview:
     """The next bytes, to be parsed at once; empty at the end. Raises TimeoutError of the socket."""
     wait = sock.gettimeout()
     end = None if wait is None else time.monotonic() + wait
     while True:
         try:
-            return VIEW[: sock.recv_into(BUFFER)]
+            return BUFFER_VIEW[: sock.recv_into(BUFFER)]
         except OSError as error:
-            if error.errno not in PASSING or (end is not None and time.monotonic() >= end):
+            if error.errno not in TRANSIENT_ERRNOS or (end is not None and time.monotonic() >= end):
                 raise
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(RETRY_DELAY_S)
 
 
-def look(sock: socket.socket) -> bytes | None:
+def peek(sock: socket.socket) -> bytes | None:
     """What waits on an idle connection, without waiting: None is nothing, empty that it has ended."""
     # A gevent socket waits for bytes even where MSG_DONTWAIT is asked for; without a timeout it does not.
     wait = sock.gettimeout()
@@ -341,6 +341,6 @@
         sock.settimeout(wait)
 
 
-def closed(sock: socket.socket) -> bool:
+def is_stale(sock: socket.socket) -> bool:
     """Whether the other side has closed an idle connection, or said what nobody asked for."""
-    return look(sock) is not None
+    return peek(sock) is not None
--- a/myrtleroad/net/objects.py
+++ b/myrtleroad/net/json_stream.py
@@ -2,18 +2,18 @@
 
 import re
 
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-MOST_BYTES = 1024 * 1024  # of one object, as of one line
-CUT_OFF = "an object that was cut off"
+STRING_LITERAL = re.compile(rb'"(?:[^"\\]|\\.)*"')
+MAX_OBJECT_BYTES = 1024 * 1024  # of one object, as of one line
+TRUNCATED = "an object that was cut off"
 
 
-def depth(line: bytes) -> int:
+def nesting_change(line: bytes) -> int:
     """By how much a line goes deeper into objects and lists."""
-    bare = STRING.sub(b"", line)
+    bare = STRING_LITERAL.sub(b"", line)
     return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
 
 
-class ObjectLines:
+class JsonObjectReader:
     """The objects of one stream. Blank lines between objects are signs of life; one within an object, or the
     beginning of another, shows that the first was cut off."""
 
@@ -32,8 +32,8 @@
         self.check(line)
         self.lines.append(line)
         self.size += len(line)
-        self.depth += depth(line)
-        if self.size > MOST_BYTES:
+        self.depth += nesting_change(line)
+        if self.size > MAX_OBJECT_BYTES:
             raise ValueError("an object without end")
         if self.depth > 0:
             return None
@@ -45,4 +45,4 @@
             if not line.startswith(b"{"):
                 raise ValueError("no object")
         elif not line or (line.startswith(b"{") and self.begins in line):
-            raise ValueError(CUT_OFF)
+            raise ValueError(TRUNCATED)
--- a/myrtleroad/net/listening.py
+++ b/myrtleroad/net/listening_socket.py
@@ -7,11 +7,11 @@
 import gevent
 from gevent import socket
 
-from myrtleroad.net.told import Address
+from myrtleroad.net.node_config import Address
 
 BACKLOG = 1024  # the system may cut it
 # What may be over in a moment: too few descriptors, buffers or memory; an address that is still being freed.
-PASSING = frozenset(
+TRANSIENT_ERRNOS = frozenset(
     (
         errno.EADDRINUSE,
         errno.EADDRNOTAVAIL,
@@ -23,24 +23,24 @@
         errno.ENOMEM,
     )
 )
-OPEN_S = 3.0  # for an address that cannot be listened on; fronts have to be ready within some seconds
-PAUSE_S = 0.05
+OPEN_TIMEOUT_S = 3.0  # for an address that cannot be listened on; fronts have to be ready within some seconds
+RETRY_DELAY_S = 0.05
 REUSE_TRIES = 10
 
 
 def open_listener(at: Address) -> socket.socket:
     """Listens at an address. Raises OSError where that stays impossible."""
-    end = time.monotonic() + OPEN_S
+    end = time.monotonic() + OPEN_TIMEOUT_S
     while True:
         try:
-            return try_listener(at)
+            return bind_and_listen(at)
         except OSError as error:
-            if error.errno not in PASSING or time.monotonic() >= end:
+            if error.errno not in TRANSIENT_ERRNOS or time.monotonic() >= end:
                 raise
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(RETRY_DELAY_S)
 
 
-def try_listener(at: Address) -> socket.socket:
+def bind_and_listen(at: Address) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         reuse_address(sock)
@@ -58,10 +58,10 @@
         try:
             return sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         except OSError:
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(RETRY_DELAY_S)
 
 
-def set_option(sock: socket.socket, level: int, name: int) -> None:
+def try_set_option(sock: socket.socket, level: int, name: int) -> None:
     """Sets an option that makes a connection better and that it can do without."""
     with contextlib.suppress(OSError):
         sock.setsockopt(level, name, 1)
--- a/myrtleroad/net/log.py
+++ b/myrtleroad/net/log.py
@@ -13,7 +13,7 @@
 LEVEL_VARIABLE = "MYRTLEROAD_LOG_LEVEL"  # of the environment; a version of what operators set goes before it
 
 
-def level_of(environment: Mapping[str, str]) -> str:
+def level_from_environment(environment: Mapping[str, str]) -> str:
     """The level that the environment asks for, ``info`` where it asks for none. Raises ValueError."""
     level = environment.get(LEVEL_VARIABLE, "info")
     if level not in LEVELS:
@@ -21,10 +21,11 @@
     return level
 
 
-REST_S = 0.01  # after a line that could not be written
+RETRY_DELAY_S = 0.01  # after a line that could not be written
 
 
 class Log:
+    ACTOR_NAME = "log"  # the actor's name in log events
     KEPT = 1000  # lines that wait for a slow reader; later ones are dropped and counted
 
     def __init__(self, clock: Callable[[], float], fd: int = 1, level: str = "info"):
@@ -66,7 +67,7 @@
                 line = line[nb_write(self.fd, line) :]
         except OSError:
             self.dropped += 1
-            gevent.sleep(REST_S)
+            gevent.sleep(RETRY_DELAY_S)
 
     def flush(self) -> None:
         """At exit: what still waits, as far as the reader takes it within a moment."""
@@ -75,7 +76,7 @@
                 self.write(self.lines.popleft())
 
 
-class Scarce:
+class RateLimitedWarnings:
     """Lines that trouble brings by thousands: ``most`` of a kind a second are written, the first of the next
     second says how many were not. Guards against a log that is itself the next trouble."""
 
@@ -98,7 +99,7 @@
         self.log(event, level="warning", **fields)
 
 
-def descriptors() -> int:
+def open_descriptors() -> int:
     """How many the process holds, -1 where the system does not say."""
     try:
         return len(os.listdir("/proc/self/fd"))
--- a/myrtleroad/net/told.py
+++ b/myrtleroad/net/node_config.py
@@ -28,42 +28,42 @@
 }
 
 
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)  # by whoever decodes words
+DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)  # by whoever decodes words
 
 
-class Unclear(Exception):
+class ConfigError(Exception):
     """A configuration that cannot be read, in one plain line."""
 
 
 @dataclass(slots=True)
-class Entry:
+class ListedServer:
     """One machine as discovery lists it; the row's index is the front's to give."""
 
     word: str
     address: Address
     row: i.ServerEntry
 
-    def draining(self) -> "Entry":
-        return Entry(self.word, self.address, replace(self.row, status=i.ServerStatus.DRAINING))
+    def draining(self) -> "ListedServer":
+        return ListedServer(self.word, self.address, replace(self.row, status=i.ServerStatus.DRAINING))
 
 
 @dataclass(slots=True)
-class Listing:
+class ServerListing:
     version: int
     kind: i.ListKind
-    entries: list[Entry]
+    entries: list[ListedServer]
     watched: bool = False  # changes that came as they happened, on a watch that has been followed all along
 
 
 @dataclass(slots=True, frozen=True)
-class Moved:
+class AddressChanged:
     """A new configuration names another address for a peer."""
 
     at: Address
 
 
 @dataclass(slots=True)
-class Told:
+class NodeConfig:
     name: str
     listen: Address
     discovery: Address
@@ -72,7 +72,7 @@
     sockets: int
     facts: i.Settings
     news: i.StageUpdate
-    known: Listing
+    known: ServerListing
     routes: dict[bytes, int]
     tenants: dict[bytes, int]
     zones: dict[str, int]
@@ -101,14 +101,14 @@
         )
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not 0 <= int(port) < 65536:
         raise ValueError(f"no address: {text}")
     return host, int(port)
 
 
-def figure(value: Any, most: float = math.inf) -> float:
+def bounded_number(value: Any, most: float = math.inf) -> float:
     """A figure that means something: a peer that spoils its words may send any."""
     number = float(value)
     if not 0 <= number <= most or number == math.inf:
@@ -116,11 +116,11 @@
     return number
 
 
-def count(value: Any) -> int:
-    return int(figure(int(value)))
+def non_negative_int(value: Any) -> int:
+    return int(bounded_number(int(value)))
 
 
-def loads(text: bytes) -> dict[str, Any]:
+def json_object(text: bytes) -> dict[str, Any]:
     """An object in JSON; ValueError where it is anything else."""
     m = orjson.loads(text)
     if not isinstance(m, dict):
@@ -128,79 +128,81 @@
     return m
 
 
-def entry(e: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> Entry:
-    return Entry(
+def listed_server(e: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> ListedServer:
+    return ListedServer(
         word=str(e["instanceId"]),
-        address=address(e["hostPort"]),
+        address=parse_address(e["hostPort"]),
         row=i.ServerEntry(
             server=-1,
             status=STATUSES[e["lifecycle"]],
-            build=count(e.get("version_no") or 0),
+            build=non_negative_int(e.get("version_no") or 0),
             zone=zones.get(e.get("zone"), 0),
             cell=int(e.get("cell") or 0),
             server_type=kinds.get(e.get("machineType"), 0),
-            weight=figure(e.get("weight", 1.0)),
-            started_at=figure(e.get("startedAtMs") or 0),
+            weight=bounded_number(e.get("weight", 1.0)),
+            started_at=bounded_number(e.get("startedAtMs") or 0),
         ),
     )
 
 
-def entries(
+def listed_servers(
     told: list[dict[str, Any]], zones: dict[str, int], kinds: dict[str, int]
-) -> tuple[dict[str, Entry], list[str | None]]:
+) -> tuple[dict[str, ListedServer], list[str | None]]:
     """The entries that can be read, by word, the last of each; and the words of those that cannot, None for
     one without a word. One bad entry must not hide the drains beside it."""
     if not isinstance(told, list):
         raise ValueError("no list of entries")
-    read: dict[str, Entry] = {}
+    read: dict[str, ListedServer] = {}
     unclear: list[str | None] = []
     for e in told:
         try:
-            got = entry(e, zones, kinds)
+            got = listed_server(e, zones, kinds)
             read[got.word] = got
-        except UNREADABLE:
+        except DECODE_ERRORS:
             word = e.get("instanceId") if isinstance(e, dict) else None
             unclear.append(word if isinstance(word, str) else None)
             read.pop(word, None) if isinstance(word, str) else None
     return read, unclear
 
 
-def listing(m: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> Listing:
+def server_listing(m: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> ServerListing:
     """A list in discovery's form, all of which must be clear: the start's ``known``."""
     kind = i.ListKind.WHOLE if m["reset"] else i.ListKind.CHANGES
-    return Listing(count(m["generation"]), kind, [entry(e, zones, kinds) for e in m["instances"]])
+    return ServerListing(
+        non_negative_int(m["generation"]), kind, [listed_server(e, zones, kinds) for e in m["instances"]]
+    )
 
 
-def stage_news(fields: dict[str, Any], answers_vote: bool = False) -> i.StageUpdate:
+def stage_update(fields: dict[str, Any], answers_vote: bool = False) -> i.StageUpdate:
     """The state of the newest build, from the start's news, the bulletin or the answer to a vote."""
     return i.StageUpdate(
         outcome=i.Outcome.COMPLETED,
         answers_vote=answers_vote,
-        build=count(fields["Revision"]),
-        stage=count(fields["Wave"]),
+        build=non_negative_int(fields["Revision"]),
+        stage=non_negative_int(fields["Wave"]),
         phase=PHASES[fields["State"]],
-        cap=figure(fields["MaxShare"], 1.0),
-        stage_age_ms=figure(fields["AgeMs"]),
+        cap=bounded_number(fields["MaxShare"], 1.0),
+        stage_age_ms=bounded_number(fields["AgeMs"]),
     )
 
 
-def decode(text: bytes) -> Told:
+def decode_node_config(text: bytes) -> NodeConfig:
     try:
         m = orjson.loads(text)
         s = m["settings"]
         zones = {name: n for n, name in enumerate(s.get("zones", ()))}
         kinds = {name: n for n, name in enumerate(s.get("kinds", ()))}
-        known = listing(m["known"], zones, kinds)
+        known = server_listing(m["known"], zones, kinds)
         known.kind = i.ListKind.REMEMBERED
-        return Told(
+        return NodeConfig(
             name=m["name"],
-            listen=address(m["listen"]),
-            discovery=address(m["discovery"]),
-            platform=address(m["platform"]["address"]),
+            listen=parse_address(m["listen"]),
+            discovery=parse_address(m["discovery"]),
+            platform=parse_address(m["platform"]["address"]),
             seed=int(str(m["seed"]), 16),
             sockets=int(m["limits"]["sockets"]),
             facts=facts(s),
-            news=stage_news(m["platform"]["news"]),
+            news=stage_update(m["platform"]["news"]),
             known=known,
             routes={lane["name"].encode(): n for n, lane in enumerate(s["lanes"])},
             tenants={t["name"].encode(): n for n, t in enumerate(s.get("tenants") or ())},
@@ -209,11 +211,11 @@
             connect_ms=ms(s["limits"]["connect_timeout"]),
             idle_ms=ms(s["limits"]["idle_close"]),
         )
-    except UNREADABLE as error:
-        raise Unclear(f"configuration unclear: {type(error).__name__}: {error}") from None
+    except DECODE_ERRORS as error:
+        raise ConfigError(f"configuration unclear: {type(error).__name__}: {error}") from None
 
 
-def fixed(old: Told, new: Told) -> list[str]:
+def fields_needing_restart(old: NodeConfig, new: NodeConfig) -> list[str]:
     """What a new configuration changes and a running front cannot take up."""
     names = (
         "name",
@@ -230,12 +232,12 @@
     return [name for name in names if getattr(old, name) != getattr(new, name)]
 
 
-def read(path: str | None = None) -> Told:
+def read_node_config(path: str | None = None) -> NodeConfig:
     where = path or os.environ.get("NODE_CONFIG")
     if not where:
-        raise Unclear("NODE_CONFIG is not set")
+        raise ConfigError("NODE_CONFIG is not set")
     try:
         text = Path(where).read_bytes()
     except OSError as error:
-        raise Unclear(f"configuration unreadable: {error}") from None
-    return decode(text)
+        raise ConfigError(f"configuration unreadable: {error}") from None
+    return decode_node_config(text)
--- a/myrtleroad/net/bounds.py
+++ b/myrtleroad/net/operator_limits.py
@@ -8,27 +8,34 @@
 from myrtleroad.config.entries import EMPTY
 from myrtleroad.config.gate import Gate
 from myrtleroad.config.narrow import narrow
-from myrtleroad.net.brain import Brain
+from myrtleroad.net.client_listener import ClientListener
+from myrtleroad.net.config_versions import ConfigVersions
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.door import Door
+from myrtleroad.net.discovery import DiscoveryClient
+from myrtleroad.net.dispatcher import Dispatcher
 from myrtleroad.net.log import Log
-from myrtleroad.net.roster import Roster
-from myrtleroad.net.told import Address, Listing, Told
-from myrtleroad.net.versions import Versions
+from myrtleroad.net.node_config import Address, NodeConfig, ServerListing
 
 
-class Holder:
+class OperatorLimits:
     """The one place that knows all who are bound. ``hold`` makes everything first, so that a fault
     leaves all as it was, and then tells without a switch."""
 
-    def __init__(self, told: Told, clock: Callable[[], float], brain: Brain, roster: Roster, door: Door):
+    def __init__(
+        self,
+        told: NodeConfig,
+        clock: Callable[[], float],
+        brain: Dispatcher,
+        roster: DiscoveryClient,
+        door: ClientListener,
+    ):
         self.told, self.clock, self.brain, self.roster, self.door = told, clock, brain, roster, door
         self.routes = [n.decode() for n in told.routes]
         self.tenants = [n.decode() for n in told.tenants]
         self.gate, self.log = Gate(), brain.log
 
-    def versions(self, at: Address, counters: Counters, log: Log) -> Versions:
-        made = Versions(at, self.told, self.clock, counters, log, self.hold, self.trial_cap)
+    def versions(self, at: Address, counters: Counters, log: Log) -> ConfigVersions:
+        made = ConfigVersions(at, self.told, self.clock, counters, log, self.hold, self.trial_cap)
         self.brain.on_news = made.renew
         return made
 
@@ -44,7 +51,9 @@
             event.max_trial_share = 1.0
         zones = frozenset(self.told.zones[z] for z in held.zones_aside)
         changed = (held.machines_aside, zones) != self.brain.aside
-        listing = Listing(self.roster.book.version, i.ListKind.CHANGES, list(self.roster.book.known.values()))
+        listing = ServerListing(
+            self.roster.book.version, i.ListKind.CHANGES, list(self.roster.book.known.values())
+        )
         # From here on nothing can fail.
         self.log.level = held.log_level
         self.gate.narrow(bounds, now)
--- a/myrtleroad/net/lag.py
+++ b/myrtleroad/net/read_delay.py
@@ -11,7 +11,7 @@
 BLOCKED_MS = 1.0  # a poll that took longer had to wait: nothing was ready as it began
 
 
-class Lag:
+class ReadDelay:
     """The turns of the loop. What a poll finds ready came after the one before it returned, or as this one
     waited; so it has waited as long as the turn between them took, and since."""
 
--- a/myrtleroad/net/stream.py
+++ b/myrtleroad/net/stream.py
@@ -13,34 +13,36 @@
 
 from myrtleroad.membership.asking import Manner
 from myrtleroad.membership.following import Act, Close, Following, Open, Seen
-from myrtleroad.net import head
+from myrtleroad.net import http1
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.log import Log
-from myrtleroad.net.lookout import Lookout
-from myrtleroad.net.told import UNREADABLE, Address, Moved, Told
+from myrtleroad.net.node_config import DECODE_ERRORS, Address, AddressChanged, NodeConfig
+from myrtleroad.net.stream_poller import StreamPoller
 
-READ = 64 * 1024  # bytes a read: as the shared buffer holds
-LOOK_S = 1.0  # the longest wait of a follower, whatever is due
-CONNECT_S = 1.0  # loopback and a datacentre's network connect in ms; a silent address must not hold for long
-LINE_LIMIT = 1024 * 1024  # a list of some 4,000 machines on one line; noise without line ends stops there
+READ_BYTES = 64 * 1024  # bytes a read: as the shared buffer holds
+MAX_WAIT_S = 1.0  # the longest wait of a follower, whatever is due
+CONNECT_TIMEOUT_S = (
+    1.0  # loopback and a datacentre's network connect in ms; a silent address must not hold for long
+)
+MAX_LINE_BYTES = 1024 * 1024  # a list of some 4,000 machines on one line; noise without line ends stops there
 
 
-class Post(NamedTuple):
+class FollowerContext(NamedTuple):
     """What every follower is given: the clock, whom it tells, and where its streams are looked at."""
 
     clock: Callable[[], float]
     deliver: Callable[[object], None]
-    lookout: Lookout
+    lookout: StreamPoller
 
 
 @dataclass(slots=True)
-class Line:
+class LineReceived:
     stream: "Stream"
     text: bytes
 
 
 @dataclass(slots=True)
-class Over:
+class StreamEnded:
     stream: "Stream"
     why: str
     reached: bool = True  # a connection had come up
@@ -65,10 +67,10 @@
         "told",
     )
 
-    def __init__(self, number: int, target: str, follower: "Follower"):
+    def __init__(self, number: int, target: str, follower: "FollowerActor"):
         self.number, self.at, self.target = number, follower.at, target
         self.post, self.lookout, self.sock = follower.post, follower.lookout, None
-        self.answers = head.Answers(stream=True)
+        self.answers = http1.ResponseParser(stream=True)
         self.rest = b""  # of a line that has not ended
         self.told = False  # whether it has told anything yet
         self.asked_at = follower.clock()
@@ -77,24 +79,24 @@
 
     def run(self) -> None:
         why = self.read()
-        self.post(Over(self, why, self.reached))
+        self.post(StreamEnded(self, why, self.reached))
 
     def read(self) -> str:
         sock = None
         try:
-            sock = socket.create_connection(self.at, CONNECT_S)
+            sock = socket.create_connection(self.at, CONNECT_TIMEOUT_S)
             self.reached = True
             sock.settimeout(None)  # its silence is judged by the follower
-            head.write(sock, head.call("GET", self.target, head.host(self.at)))
+            http1.send(sock, http1.request_parts("GET", self.target, http1.host_header(self.at)))
             self.sock = sock
             self.lookout.add(sock.fileno(), self)
             while not self.answers.complete:
-                data = head.read(sock)
+                data = http1.receive(sock)
                 if not data:
                     return "ended"
                 self.feed(data)
             return "ended"
-        except (OSError, head.Unfit) as error:
+        except (OSError, http1.HttpError) as error:
             return f"{type(error).__name__}: {error}"
         finally:
             if sock is not None:
@@ -105,7 +107,7 @@
     def feed(self, data: memoryview | bytes) -> None:
         self.answers.feed(data)
         if self.answers.answer.status not in (0, 200):
-            raise head.Unfit(self.answers.answer.status)
+            raise http1.HttpError(self.answers.answer.status)
         chunks, self.answers.answer.body = self.answers.answer.body, []
         self.take(b"".join(chunks))
 
@@ -115,18 +117,18 @@
         if self.sock is None or self.answers.complete:
             return False
         try:
-            for _ in range(LINE_LIMIT // READ + 1):
-                data = os.read(self.sock.fileno(), READ)
+            for _ in range(MAX_LINE_BYTES // READ_BYTES + 1):
+                data = os.read(self.sock.fileno(), READ_BYTES)
                 if not data:
                     return False
                 self.feed(data)
                 if self.answers.complete:
                     raise ConnectionError("ended")
-                if len(data) < READ:
+                if len(data) < READ_BYTES:
                     break
         except BlockingIOError:
             pass
-        except (OSError, head.Unfit) as error:
+        except (OSError, http1.HttpError) as error:
             self.greenlet.kill(error, block=False)  # which ends ``read`` as its own would
             return False
         return True
@@ -134,22 +136,30 @@
     def take(self, chunk: bytes) -> None:
         """Lines may be split anywhere."""
         *lines, self.rest = (self.rest + chunk).split(b"\n")
-        if len(self.rest) > LINE_LIMIT:
-            raise head.Unfit(502)
+        if len(self.rest) > MAX_LINE_BYTES:
+            raise http1.HttpError(502)
         for line in lines:
-            self.post(Line(self, line))
+            self.post(LineReceived(self, line))
 
     def close(self) -> None:
         self.greenlet.kill(block=False)
 
 
-class Follower:
+class FollowerActor:
     """An actor that follows one peer's stream as ``membership.Following`` says: it opens and closes streams,
     posts their words and the passing of time to it, and passes on what they say."""
 
     NAME, ENDED = "", ""  # for log and counters
 
-    def __init__(self, at: Address, manner: Manner, told: Told, counters: Counters, log: Log, post: Post):
+    def __init__(
+        self,
+        at: Address,
+        manner: Manner,
+        told: NodeConfig,
+        counters: Counters,
+        log: Log,
+        post: FollowerContext,
+    ):
         self.at, self.counters, self.log = at, counters, log
         self.clock, self.deliver, self.lookout = post
         self.following = Following(manner, Random(told.seed).random, self.clock())
@@ -163,7 +173,7 @@
         self.carry(self.following.want(self.clock()))
         while True:
             wait = max(0.0, self.following.due() - self.clock()) / 1000
-            self.wake.wait(min(wait, LOOK_S))
+            self.wake.wait(min(wait, MAX_WAIT_S))
             self.wake.clear()
             self.settle()
             if self.following.due() <= self.clock():
@@ -186,15 +196,15 @@
     def take(self, message: object) -> None:
         now = self.clock()
         match message:
-            case Moved(at):
+            case AddressChanged(at):
                 if at != self.at:
                     self.at = at
                     self.carry(self.following.moved(now))
-            case Line(stream, text):
+            case LineReceived(stream, text):
                 if self.streams.get(stream.number) is stream:
                     self.carry(self.following.heard(stream.number, now))
                     self.read(stream, text)
-            case Over(stream, why, reached):
+            case StreamEnded(stream, why, reached):
                 if self.streams.pop(stream.number, None) is stream:
                     self.over(stream, why, reached)
             case _:
@@ -203,7 +213,7 @@
     def read(self, stream: Stream, text: bytes) -> None:
         try:
             self.line(stream, text)
-        except UNREADABLE as error:
+        except DECODE_ERRORS as error:
             del self.streams[stream.number]
             stream.close()
             self.over(stream, f"unreadable: {type(error).__name__}: {error}")
@@ -213,7 +223,7 @@
         self.answered = True
         self.counters.add(self.ENDED)
         after = round(self.clock() - stream.asked_at, 1)
-        what = dict(at=head.host(stream.at), stream=stream.number, told=stream.told, after_ms=after)
+        what = dict(at=http1.host_header(stream.at), stream=stream.number, told=stream.told, after_ms=after)
         self.log(f"{self.NAME} lost", level="warning", why=why, **what)
 
     def over(self, stream: Stream, why: str, reached: bool = True) -> None:
@@ -226,7 +236,7 @@
         if not stream.told:
             stream.told = self.answered = True
             after = round(self.clock() - stream.asked_at, 1)
-            at = head.host(stream.at)
+            at = http1.host_header(stream.at)
             self.log(f"{self.NAME} read", at=at, stream=stream.number, after_ms=after, **what)
         self.carry(self.following.told(stream.number, self.clock()))
 
--- a/myrtleroad/net/lookout.py
+++ b/myrtleroad/net/stream_poller.py
@@ -9,12 +9,12 @@
 from typing import Protocol
 
 
-class Source(Protocol):
+class ReadableStream(Protocol):
     def read_now(self) -> bool:
         """Take what has come, without waiting; False once nothing more can come."""
 
 
-class Lookout:
+class StreamPoller:
     """The descriptors of the open streams, asked for together in one system call. A stream leaves it as it
     closes, or as its end is seen."""
 
@@ -22,14 +22,14 @@
 
     def __init__(self) -> None:
         self.poll = select.poll()
-        self.sources: dict[int, Source] = {}  # as many as streams are open: four at most
+        self.sources: dict[int, ReadableStream] = {}  # as many as streams are open: four at most
         self.settle: list[Callable[[], None]] = []  # the followers' own steps: what they were posted is taken
 
-    def add(self, fd: int, source: Source) -> None:
+    def add(self, fd: int, source: ReadableStream) -> None:
         self.sources[fd] = source
         self.poll.register(fd, select.POLLIN)
 
-    def drop(self, fd: int, source: Source) -> None:
+    def drop(self, fd: int, source: ReadableStream) -> None:
         # Guards against a number that the system has given to another stream meanwhile.
         if self.sources.get(fd) is source:
             del self.sources[fd]
--- a/myrtleroad/net/machine.py
+++ b/myrtleroad/net/upstream_server.py
@@ -9,15 +9,21 @@
 from gevent.queue import Empty, SimpleQueue
 
 from myrtleroad import interface as i
-from myrtleroad.net import head
+from myrtleroad.net import http1
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.connecting import connect
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.ending import Answer, Broken, Cause, Reach, of_try
-from myrtleroad.net.listening import set_option
-from myrtleroad.net.told import Address, Told
+from myrtleroad.net.exchange_result import (
+    ExchangeFailure,
+    ExchangeProgress,
+    FailureCause,
+    UpstreamResponse,
+    outcome_of_attempt,
+)
+from myrtleroad.net.listening_socket import try_set_option
+from myrtleroad.net.node_config import Address, NodeConfig
 
-OURS = (
+LOCAL_ERRNOS = (
     frozenset(  # no server is at fault: descriptors, buffers, memory, ports or the network are missing here
         (
             errno.EADDRNOTAVAIL,
@@ -33,62 +39,64 @@
     )
 )
 TRANSIT_MS = 20.0  # less than what is left is told: for the way there, and for what holds us up before it
-SWEEP_S = 1.0  # how often idle connections are looked over
-SPARE_MS = 2000.0  # idle connections go this much before the machine closes them: two sweeps
+IDLE_SWEEP_S = 1.0  # how often idle connections are looked over
+IDLE_MARGIN_MS = 2000.0  # idle connections go this much before the machine closes them: two sweeps
 
 
-UNSENT = Broken(Reach.CONNECTED, Cause.WITHDRAWN)
-LATE = Broken(Reach.CONNECTED, Cause.OVERDUE)
-DOUBT = Broken(Reach.WRITTEN, Cause.ENDED, "fault")  # what a try counts as until its result is known
+NOT_SENT = ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.WITHDRAWN)
+DEADLINE_PASSED = ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.OVERDUE)
+RESULT_UNKNOWN = ExchangeFailure(
+    ExchangeProgress.WRITTEN, FailureCause.ENDED, "fault"
+)  # what a try counts as until its result is known
 
 
 @dataclass(slots=True)
-class Job:
+class AttemptJob:
     """One upstream try, as the module asked for it."""
 
     ident: int
     try_no: int
     machine: int
-    message: head.Message
+    message: http1.Message
     sent: float  # when the module decided
     ends_at: float  # when we stop waiting
     ticket: tuple[float, ...]  # what the list and the news said then
 
 
 @dataclass(slots=True)
-class TryEnded:
-    job: Job
+class AttemptResult:
+    job: AttemptJob
     end: i.Outcome
     took_ms: float
-    result: Answer | Broken
+    result: UpstreamResponse | ExchangeFailure
     connected_at: float = float("inf")  # when its connection was made; inf where there was none
 
 
 @dataclass(slots=True)
-class Go:
-    job: Job
+class StartAttempt:
+    job: AttemptJob
 
 
 @dataclass(slots=True)
-class CallOff:
+class StopAttempt:
     ident: int
     try_no: int
 
 
 @dataclass(slots=True)
-class Moved:
+class ServerAddressChanged:
     """The list gives the machine another address, or another start: old connections are of no use."""
 
     at: Address
 
 
 @dataclass(slots=True)
-class Leave:
+class ServerRemoved:
     """The machine has left the list: give back its idle connections and end."""
 
 
 @dataclass(slots=True)
-class Share:
+class ConnectionBudget:
     """The descriptors that connections to machines may hold together: each try of a held req needs one,
     and what is over that share is not kept idle."""
 
@@ -97,21 +105,21 @@
 
 
 @dataclass(slots=True)
-class Over:
+class ConnectionReleased:
     """A try has ended; its connection, if it may be used again."""
 
-    job: Job
-    link: "Link | None"
+    job: AttemptJob
+    link: "Connection | None"
 
 
-class Link:
+class Connection:
     """One connection to a machine. Whoever holds it, the actor or one try, is its only user."""
 
     __slots__ = ("answers", "connected_at", "free_at", "share", "sock", "start")
 
-    def __init__(self, sock: socket.socket, start: int, share: Share, connected_at: float):
+    def __init__(self, sock: socket.socket, start: int, share: ConnectionBudget, connected_at: float):
         self.sock, self.start, self.share, self.connected_at = sock, start, share, connected_at
-        self.answers, self.free_at = head.Answers(), 0.0
+        self.answers, self.free_at = http1.ResponseParser(), 0.0
         share.open += 1
 
     def close(self) -> None:
@@ -119,61 +127,61 @@
         self.share.open -= 1
 
 
-class Machine:
+class UpstreamServer:
     def __init__(
         self,
         at: Address,
-        told: Told,
+        told: NodeConfig,
         clock: Clock,
         counters: Counters,
-        share: Share,
-        deliver: Callable[[TryEnded], None],
-        stands: Callable[[Job], bool],
+        share: ConnectionBudget,
+        deliver: Callable[[AttemptResult], None],
+        stands: Callable[[AttemptJob], bool],
     ):
         self.at, self.clock, self.counters, self.share = at, clock, counters, share
         self.connect_ms, self.idle_ms = told.connect_ms, told.idle_ms
         self.deliver, self.stands = deliver, stands
         self.start = 0  # counts the addresses and starts that the list has told
         self.mailbox: SimpleQueue = SimpleQueue()
-        self.idle: list[Link] = []  # last used last; emptied by age and as the machine closes
+        self.idle: list[Connection] = []  # last used last; emptied by age and as the machine closes
         self.out: dict[tuple[int, int], gevent.Greenlet] = {}  # emptied by each try's end
         self.gone = False
 
     def run(self) -> None:
         while not (self.gone and not self.out):
             try:
-                message = self.mailbox.get(timeout=SWEEP_S if self.idle else None)
+                message = self.mailbox.get(timeout=IDLE_SWEEP_S if self.idle else None)
             except Empty:
                 self.sweep()
                 continue
             match message:
-                case Go(job):
+                case StartAttempt(job):
                     self.go(job)
-                case Over(job, link):
+                case ConnectionReleased(job, link):
                     self.out.pop((job.ident, job.try_no), None)
                     if link is not None:
                         self.keep(link)
-                case CallOff(ident, try_no):
+                case StopAttempt(ident, try_no):
                     if running := self.out.get((ident, try_no)):
                         gevent.sleep(0)  # one that has not begun yet would end without a word
                         running.kill(block=False)
-                case Moved(at):
+                case ServerAddressChanged(at):
                     self.at, self.start = at, self.start + 1
                     self.drop_idle()
-                case Leave():
+                case ServerRemoved():
                     self.gone = True
                     self.drop_idle()
 
-    def go(self, job: Job) -> None:
+    def go(self, job: AttemptJob) -> None:
         try:
             self.out[job.ident, job.try_no] = gevent.spawn(self.attempt, job, self.take())
         except Exception:
             # Guards against a try that nobody has begun and nobody ends; the fault is told as any other.
             self.counters.add("tries_moot")
-            self.deliver(TryEnded(job, i.Outcome.MOOT, self.clock() - job.sent, UNSENT))
+            self.deliver(AttemptResult(job, i.Outcome.MOOT, self.clock() - job.sent, NOT_SENT))
             raise
 
-    def take(self) -> Link | None:
+    def take(self) -> Connection | None:
         """The idle connection used last, of those that still stand."""
         while self.idle:
             link = self.idle.pop()
@@ -182,10 +190,10 @@
             link.close()
         return None
 
-    def sound(self, link: Link) -> bool:
-        return self.clock() - link.free_at < self.idle_ms - SPARE_MS and not head.closed(link.sock)
+    def sound(self, link: Connection) -> bool:
+        return self.clock() - link.free_at < self.idle_ms - IDLE_MARGIN_MS and not http1.is_stale(link.sock)
 
-    def keep(self, link: Link) -> None:
+    def keep(self, link: Connection) -> None:
         if self.gone or link.start != self.start or self.share.open > self.share.most:
             link.close()
             return
@@ -205,48 +213,52 @@
             link.close()
         self.idle = []
 
-    def attempt(self, job: Job, link: Link | None) -> None:
+    def attempt(self, job: AttemptJob, link: Connection | None) -> None:
         """One try, sent exactly once; its one ending goes to the module whatever happens."""
-        result: Answer | Broken = DOUBT
+        result: UpstreamResponse | ExchangeFailure = RESULT_UNKNOWN
         kept = None
         try:
             opened = link or self.connect(job)
-            if isinstance(opened, Broken):
+            if isinstance(opened, ExchangeFailure):
                 result = opened
             else:
                 link = opened
                 result = self.exchange(job, link)
-                whole = isinstance(result, Answer) and result.keep
-                kept = link if whole or result in (UNSENT, LATE) else None
+                whole = isinstance(result, UpstreamResponse) and result.keep
+                kept = link if whole or result in (NOT_SENT, DEADLINE_PASSED) else None
         finally:
             if link is not None and kept is None:
                 link.close()
-            end = of_try(result)
+            end = outcome_of_attempt(result)
             self.counters.add(f"tries_{end.name.lower()}")
             connected_at = link.connected_at if link is not None else float("inf")
-            self.deliver(TryEnded(job, end, self.clock() - job.sent, result, connected_at))
-            self.mailbox.put(Over(job, kept))
+            self.deliver(AttemptResult(job, end, self.clock() - job.sent, result, connected_at))
+            self.mailbox.put(ConnectionReleased(job, kept))
 
-    def connect(self, job: Job) -> Link | Broken:
+    def connect(self, job: AttemptJob) -> Connection | ExchangeFailure:
         left, start = job.ends_at - self.clock(), self.start
         if left < 1:
-            return LATE
+            return DEADLINE_PASSED
         try:
             sock = connect(self.at, min(self.connect_ms, left) / 1000)
         except TimeoutError:
-            return LATE if left < self.connect_ms else Broken(Reach.NOT_CONNECTED, Cause.TIMEOUT)
+            return (
+                DEADLINE_PASSED
+                if left < self.connect_ms
+                else ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.TIMEOUT)
+            )
         except OSError as error:
-            if error.errno in OURS:
+            if error.errno in LOCAL_ERRNOS:
                 self.counters.add("connections_short")
-                return Broken(Reach.NOT_CONNECTED, Cause.SHORT, str(error))
-            return Broken(Reach.NOT_CONNECTED, Cause.REFUSED, str(error))
+                return ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.SHORT, str(error))
+            return ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.REFUSED, str(error))
         except gevent.GreenletExit:
-            return Broken(Reach.NOT_CONNECTED, Cause.CANCELLED)
-        set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            return ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.CANCELLED)
+        try_set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
         self.counters.add("machine_connections")
-        return Link(sock, start, self.share, self.clock())
+        return Connection(sock, start, self.share, self.clock())
 
-    def begin(self, job: Job, sock: socket.socket) -> Broken | None:
+    def begin(self, job: AttemptJob, sock: socket.socket) -> ExchangeFailure | None:
         """Writes the request; what kept it from being written, or None.
 
         What the module decided on may hold no more by the time that the system takes the first byte: a
@@ -255,43 +267,43 @@
         while True:
             left = job.ends_at - self.clock()
             if left < 1:
-                return LATE
-            parts = head.forwarded(job.message, max(1, int(left - TRANSIT_MS)))
+                return DEADLINE_PASSED
+            parts = http1.forwarded_request(job.message, max(1, int(left - TRANSIT_MS)))
             if not self.stands(job):
-                return UNSENT
-            rest = head.write_now(sock, parts)
+                return NOT_SENT
+            rest = http1.send_nowait(sock, parts)
             if len(rest) < sum(map(len, parts)):
                 break
-            gevent.sleep(head.PAUSE_S)
+            gevent.sleep(http1.RETRY_DELAY_S)
         sock.settimeout(left / 1000)
-        head.write_all(sock, rest, left / 1000)
+        http1.send_all(sock, rest, left / 1000)
         return None
 
-    def exchange(self, job: Job, link: Link) -> Answer | Broken:
-        reach, sock = Reach.CONNECTED, link.sock
+    def exchange(self, job: AttemptJob, link: Connection) -> UpstreamResponse | ExchangeFailure:
+        reach, sock = ExchangeProgress.CONNECTED, link.sock
         try:
             if (unsent := self.begin(job, sock)) is not None:
                 return unsent
-            reach = Reach.WRITTEN
+            reach = ExchangeProgress.WRITTEN
             answers = link.answers
             answers.reset()
             while not answers.complete:
                 left = job.ends_at - self.clock()
                 if left <= 0:
-                    return Broken(reach, Cause.TIMEOUT)
+                    return ExchangeFailure(reach, FailureCause.TIMEOUT)
                 sock.settimeout(left / 1000)
-                data = head.read(sock)
+                data = http1.receive(sock)
                 if not data:
-                    return Broken(reach, Cause.ENDED)
-                reach = Reach.BEGUN
+                    return ExchangeFailure(reach, FailureCause.ENDED)
+                reach = ExchangeProgress.BEGUN
                 answers.feed(data)
             return answers.answer
         except TimeoutError:
-            return Broken(reach, Cause.TIMEOUT)
-        except head.Unfit:
-            return Broken(reach, Cause.UNREADABLE)
+            return ExchangeFailure(reach, FailureCause.TIMEOUT)
+        except http1.HttpError:
+            return ExchangeFailure(reach, FailureCause.UNREADABLE)
         except OSError as error:
-            short = reach < Reach.WRITTEN and error.errno in OURS
-            return Broken(reach, Cause.SHORT if short else Cause.ENDED, str(error))
+            short = reach < ExchangeProgress.WRITTEN and error.errno in LOCAL_ERRNOS
+            return ExchangeFailure(reach, FailureCause.SHORT if short else FailureCause.ENDED, str(error))
         except gevent.GreenletExit:
-            return Broken(reach, Cause.CANCELLED)
+            return ExchangeFailure(reach, FailureCause.CANCELLED)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 from gevent import socket
 
 from myrtleroad import interface as i
-from myrtleroad.net import told
+from myrtleroad.net import node_config
 from myrtleroad.policy.balancer import Balancer
 
 
@@ -144,7 +144,7 @@
 
 
 def build_told(*machines, **changes):
-    return told.decode(orjson.dumps(build_config(machines, **changes)))
+    return node_config.decode_node_config(orjson.dumps(build_config(machines, **changes)))
 
 
 class Silent:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -8,18 +8,18 @@
 
 from myrtleroad import interface as i
 from myrtleroad.answers.account import off
-from myrtleroad.net import brain, machine
+from myrtleroad.net import dispatcher, upstream_server
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.ending import Answer, Broken, Cause, Reach
+from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
 
 ENDS = {
-    i.Outcome.COMPLETED: Answer(200, [], [b"hi"]),
-    i.Outcome.ERRORED: Answer(500),
-    i.Outcome.FULL: Answer(503, [(b"X-Turned-Away", b"1")]),
-    i.Outcome.TIMEOUT: Broken(Reach.WRITTEN, Cause.TIMEOUT),
-    i.Outcome.RESET: Broken(Reach.WRITTEN, Cause.ENDED),
-    i.Outcome.NOT_CONNECTED: Broken(Reach.NOT_CONNECTED, Cause.REFUSED),
-    i.Outcome.MOOT: Broken(Reach.CONNECTED, Cause.WITHDRAWN),
+    i.Outcome.COMPLETED: UpstreamResponse(200, [], [b"hi"]),
+    i.Outcome.ERRORED: UpstreamResponse(500),
+    i.Outcome.FULL: UpstreamResponse(503, [(b"X-Turned-Away", b"1")]),
+    i.Outcome.TIMEOUT: ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.TIMEOUT),
+    i.Outcome.RESET: ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED),
+    i.Outcome.NOT_CONNECTED: ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.REFUSED),
+    i.Outcome.MOOT: ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.WITHDRAWN),
 }
 
 
@@ -30,7 +30,7 @@
         super().__init__()
         self.now = 1_000_000.0
         told = build_told(*(listed(f"s-{n}", ("127.0.0.1", 9)) for n in range(3)))
-        self.b = brain.Brain(told, lambda: self.now, Counters(), silent)
+        self.b = dispatcher.Dispatcher(told, lambda: self.now, Counters(), silent)
         self.b.start()
         self.ends_at, self.answers, self.left = {}, {}, set()
         self.waiting, self.out, self.ran = [], [], {}
@@ -41,7 +41,7 @@
         for actor in self.b.machines.values():
             while actor.mailbox.qsize():
                 message = actor.mailbox.get()
-                if isinstance(message, machine.Go):
+                if isinstance(message, upstream_server.StartAttempt):
                     job = message.job
                     assert job.ident not in self.left and not self.answers.get(job.ident)
                     # What may have run must not run twice where its route forbids it.
@@ -53,13 +53,13 @@
         self.number += 1
         ident = self.number
         rq = i.Request(ident, route, 0, None, self.now - age + within, 0.0, False)
-        message = brain.Message(b"GET", b"/api", fields={b"x-txn": b"%d" % ident})
+        message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"%d" % ident})
         self.ends_at[ident], self.answers[ident] = rq.deadline, []
 
         def answer(final):
             self.answers[ident].append((final, self.now))
 
-        self.waiting.append(brain.Taken(rq, message, self.now, answer, age))
+        self.waiting.append(dispatcher.RequestReceived(rq, message, self.now, answer, age))
         return ident
 
     @rule(n=st.integers(1, 5))
@@ -78,7 +78,7 @@
             self.ran[job.ident] = True
         if fault:
             self.b.load = lambda message: 1 / 0
-        self.b.end(machine.TryEnded(job, end, self.now - job.sent, ENDS[end]))
+        self.b.end(upstream_server.AttemptResult(job, end, self.now - job.sent, ENDS[end]))
         self.b.settle()
         if fault:
             del self.b.load
@@ -88,7 +88,7 @@
     def leave(self, ident):
         if all(message.rq.id != ident for message in self.waiting):
             self.left.add(ident)
-            self.b.handle(brain.Gone(ident))
+            self.b.handle(dispatcher.ClientGone(ident))
 
     @rule(ms=st.floats(0.0, 400.0))
     def pass_time(self, ms):
@@ -104,9 +104,11 @@
 
     @invariant()
     def none_is_left_open_past_its_time(self):
-        if self.now >= self.b.look_at - brain.SLACK_MS:
-            looked = self.b.look_at - brain.SLACK_MS
-            assert all(x.taken.rq.deadline + brain.SLACK_MS >= looked for x in self.b.open.values())
+        if self.now >= self.b.look_at - dispatcher.DEADLINE_SLACK_MS:
+            looked = self.b.look_at - dispatcher.DEADLINE_SLACK_MS
+            assert all(
+                x.taken.rq.deadline + dispatcher.DEADLINE_SLACK_MS >= looked for x in self.b.open.values()
+            )
 
     def teardown(self):
         self.work(len(self.waiting))
@@ -116,7 +118,7 @@
             assert len(got) == 1 or ident in self.left, ident
         assert not self.b.open
         for job in self.out:
-            self.b.end(machine.TryEnded(job, i.Outcome.RESET, 1.0, ENDS[i.Outcome.RESET]))
+            self.b.end(upstream_server.AttemptResult(job, i.Outcome.RESET, 1.0, ENDS[i.Outcome.RESET]))
         self.b.settle()
         assert not self.b.ids  # nothing grows with reqs
 
@@ -127,7 +129,7 @@
 
 @pytest.mark.parametrize("guard", ["expire", "let_go"])
 def test_a_guard_broken_on_purpose_is_caught(monkeypatch, guard):
-    monkeypatch.setattr(brain.Brain, guard, lambda self, of: None)
+    monkeypatch.setattr(dispatcher.Dispatcher, guard, lambda self, of: None)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(Account, settings=settings(Account.TestCase.settings, print_blob=False))
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,31 +10,31 @@
 
 from myrtleroad import interface as i
 from myrtleroad.answers.entry import Entry, Word
-from myrtleroad.net import brain, machine, reply
+from myrtleroad.net import dispatcher, response, upstream_server
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.ending import Answer
-from myrtleroad.net.log import Scarce
-from myrtleroad.net.told import listing
+from myrtleroad.net.exchange_result import UpstreamResponse
+from myrtleroad.net.log import RateLimitedWarnings
+from myrtleroad.net.node_config import server_listing
 
 
 def flood(b, n):
     """Reqs that wait to be taken."""
     for x in range(n):
-        message = brain.Message(b"GET", b"/api", fields={b"x-txn": b"w%d" % x})
+        message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"w%d" % x})
         rq = i.Request(x + 10, 0, 0, None, b.clock() + 5000.0, 0.0, False)
-        b.mailbox.put(brain.Taken(rq, message, b.clock(), lambda final: None))
+        b.mailbox.put(dispatcher.RequestReceived(rq, message, b.clock(), lambda final: None))
 
 
 def test_endings_of_tries_are_not_behind_reqs_that_wait(monkeypatch):
-    monkeypatch.setattr(brain, "TURN_MS", 0.0)
+    monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
     b = build_brain(listed("s-1", AT))
     answers = taken(b, 1)
     (job,) = sent(b)
     flood(b, 5000)
     runs = gevent.spawn(b.run)
     # What the try's greenlet does as its answer comes, while the actor works its mailbox off.
-    b.end(machine.TryEnded(job, i.Outcome.COMPLETED, 5.0, Answer(200, [], [b"hi"])))
+    b.end(upstream_server.AttemptResult(job, i.Outcome.COMPLETED, 5.0, UpstreamResponse(200, [], [b"hi"])))
     while not answers:
         gevent.sleep(0)
     taken_by_then = b.counters.counts["reqs_taken"]
@@ -44,10 +44,12 @@
 
 def test_a_try_that_an_actor_cannot_begin_has_its_ending(monkeypatch):
     got, told = [], build_told(listed("s-1", AT))
-    m = machine.Machine(AT, told, Clock(), Counters(), machine.Share(9), got.append, lambda job: True)
+    m = upstream_server.UpstreamServer(
+        AT, told, Clock(), Counters(), upstream_server.ConnectionBudget(9), got.append, lambda job: True
+    )
     monkeypatch.setattr(m, "take", lambda: 1 / 0)
-    job = machine.Job(1, 0, 0, brain.Message(), m.clock(), m.clock() + 900.0, ())
-    m.mailbox.put(machine.Go(job))
+    job = upstream_server.AttemptJob(1, 0, 0, dispatcher.Message(), m.clock(), m.clock() + 900.0, ())
+    m.mailbox.put(upstream_server.StartAttempt(job))
     with pytest.raises(ZeroDivisionError):
         m.run()
     assert [(x.job, x.end) for x in got] == [(job, i.Outcome.MOOT)] and not m.out
@@ -67,7 +69,9 @@
     lines = []
     b = build_brain(listed("s-1", AT))
     start = b.clock()
-    b.overdue = Scarce(lambda event, **fields: lines.append((fields["txn"], fields.get("left_out"))), 2)
+    b.overdue = RateLimitedWarnings(
+        lambda event, **fields: lines.append((fields["txn"], fields.get("left_out"))), 2
+    )
     for n in range(1, 7):
         taken(b, n, within=900.0)
     b.clock = lambda: start + 1000.0
@@ -97,7 +101,7 @@
     d, waiting = build_door()
     kept, fresh = client(d), client(d)
     kept.sendall(GOOD)
-    waiting.get().answer(reply.shed(0.0))
+    waiting.get().answer(response.shed(0.0))
     assert status(kept)[0] == 503
     gevent.sleep(0.01)
     before = d.clock()
@@ -138,7 +142,7 @@
         assert code == 503 and b"Connection: close" in head and b"Retry-After" in head
     assert waiting.empty() and len(d.clients) <= d.most + d.BRIEF
     for message in messages:
-        message.answer(reply.errored())
+        message.answer(response.bad_gateway())
     assert [status(sock)[0] for sock in held] == [502] * 3
     assert d.counters.counts["reqs_full"] == 100
 
@@ -146,7 +150,7 @@
 def handed(b):
     """The tries in the mailboxes of all machines."""
     waiting = [a.mailbox.get() for a in b.machines.values() for _ in range(a.mailbox.qsize())]
-    return [m.job for m in waiting if isinstance(m, machine.Go)]
+    return [m.job for m in waiting if isinstance(m, upstream_server.StartAttempt)]
 
 
 def test_a_hundred_and_fifty_of_1024_machines_gone_in_one_line_lose_no_req():
@@ -157,20 +161,20 @@
     assert len(jobs) == 300
     gone = [e | {"lifecycle": "terminated"} for e in entries[:150]]
     told = {"generation": 8, "reset": False, "instances": gone}
-    b.tell(listing(told, {"here": 0}, {"small": 0}))
+    b.tell(server_listing(told, {"here": 0}, {"small": 0}))
     b.hear()
     forbidden = [job for job in jobs if not b.stands(job)]
     assert {job.machine for job in forbidden} == {job.machine for job in jobs if job.machine < 150}
     for job in jobs:
         if job in forbidden:
-            ends(b, job, machine.UNSENT, i.Outcome.MOOT)
+            ends(b, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
         else:
-            ends(b, job, Answer(200, [], [b"hi"]), i.Outcome.COMPLETED)
+            ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
     again = handed(b)
     assert len(again) == len(forbidden) and all(job.machine >= 150 for job in again)
     for job in again:
-        ends(b, job, Answer(200, [], [b"hi"]), i.Outcome.COMPLETED)
+        ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
     assert all([a.status for a in got] == [200] for got in answers) and balanced(b)
-    b.tell(listing(told | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0}))
+    b.tell(server_listing(told | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0}))
     b.hear()  # those that had tries out go with the next list
     assert len(b.machines) == 1024 - 150 and not b.ids
--- a/tests/test_answers_faults.py
+++ b/tests/test_answers_faults.py
@@ -12,8 +12,8 @@
 
 from myrtleroad import interface as i
 from myrtleroad.answers.entry import Entry, Word
-from myrtleroad.net import brain, machine, reply
-from myrtleroad.net.ending import Answer, Broken, Cause, Reach
+from myrtleroad.net import dispatcher, response, upstream_server
+from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
 
 
 def test_a_req_that_nothing_ends_is_answered_as_failed_at_its_time():
@@ -22,16 +22,16 @@
     b.expire(b.clock())
     assert not answers
     b.look_at = 0.0
-    b.expire(b.clock() + 20.0 + brain.SLACK_MS + 1)
+    b.expire(b.clock() + 20.0 + dispatcher.DEADLINE_SLACK_MS + 1)
     assert [a.status for a in answers] == [502] and not others
     assert b.counters.counts["reqs_expired"] == 1 and balanced(b)
     late, _ = sent(b)
-    ends(b, late, Answer(200, [], [b"late"]), i.Outcome.COMPLETED)
+    ends(b, late, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
     assert len(answers) == 1 and balanced(b)
 
 
 def test_a_mailbox_worked_off_lets_others_have_their_turn(monkeypatch):
-    monkeypatch.setattr(brain, "TURN_MS", 0.0)
+    monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
     b = build_brain(listed("s-1", AT))
     flood(b, 500)
     runs = gevent.spawn(b.run)
@@ -49,8 +49,12 @@
     answers, others = taken(b, 1), taken(b, 2)
     job, _ = sent(b)
     monkeypatch.setattr(b, "load", lambda message: 1 / 0)
-    result = Answer(200) if end == i.Outcome.COMPLETED else Broken(Reach.WRITTEN, Cause.ENDED)
-    b.ends.append(machine.TryEnded(job, end, 5.0, result))
+    result = (
+        UpstreamResponse(200)
+        if end == i.Outcome.COMPLETED
+        else ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED)
+    )
+    b.ends.append(upstream_server.AttemptResult(job, end, 5.0, result))
     b.settle()
     assert [a.status for a in answers] == [502] and not others
     assert b.counters.counts["faults"] == 1 and balanced(b)
@@ -62,9 +66,9 @@
     answers = []
     rq, message = (
         i.Request(1, 0, 0, None, b.clock() + 900.0, 0.0, False),
-        brain.Message(fields={b"x-txn": b"1"}),
+        dispatcher.Message(fields={b"x-txn": b"1"}),
     )
-    b.handle(brain.Taken(rq, message, b.clock(), answers.append))
+    b.handle(dispatcher.RequestReceived(rq, message, b.clock(), answers.append))
     assert [a.status for a in answers] == [502] and not b.open
 
 
@@ -78,7 +82,7 @@
     sock.sendall(b"more")
     while not d.counters.counts["faults"]:
         gevent.sleep(0.001)
-    message.answer(reply.errored())
+    message.answer(response.bad_gateway())
     assert status(sock)[0] == 502 and waiting.empty()
 
 
@@ -87,8 +91,8 @@
     sock = client(d)
     sock.sendall(GOOD)
     message = waiting.get()
-    message.answer(reply.errored())
-    message.answer(reply.shed(0.0))
+    message.answer(response.bad_gateway())
+    message.answer(response.shed(0.0))
     assert status(sock)[0] == 502
     sock.settimeout(0.02)
     with pytest.raises(socket.timeout):
@@ -115,7 +119,7 @@
         held_loop(d, socks, 30.0)
         gevent.sleep(0.005)
         while waiting.qsize():
-            waiting.get().answer(reply.shed(0.0))
+            waiting.get().answer(response.shed(0.0))
             took += 1
         assert {status(sock)[0] for sock in socks} == {503}
     assert took == 30 and d.counters.counts["reqs_unread_standing"] == 60
@@ -129,12 +133,12 @@
     answers = []
     rq, message = (
         i.Request(1, 0, 0, None, b.clock() + 30.0, 0.0, False),
-        brain.Message(fields={b"x-txn": b"1"}),
+        dispatcher.Message(fields={b"x-txn": b"1"}),
     )
-    b.handle(brain.Taken(rq, message, b.clock() - 40.0, answers.append, 20.0))
+    b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 40.0, answers.append, 20.0))
     assert not answers  # it has time left, and one wait is no standing queue
     b.entry.above_since = b.clock() - 1000.0
-    b.handle(brain.Taken(rq, message, b.clock() - 70.0, answers.append, 20.0))
+    b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 70.0, answers.append, 20.0))
     assert [a.status for a in answers] == [503] and b.counters.counts["reqs_waited_standing"] == 1
     assert b.counters.counts["reqs_taken"] == 1 and balanced(b)
 
@@ -147,7 +151,7 @@
     (held,) = d.clients
     held.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     body = b"x" * 400_000
-    message.answer(reply.completed(Answer(200, [], [body])))
+    message.answer(response.completed(UpstreamResponse(200, [], [body])))
     assert held.written is not None
     code, _, got = status(sock)
     assert code == 200 and got == body
@@ -157,7 +161,7 @@
     d, waiting = build_door()
     sock = client(d)
     sock.sendall(GOOD)
-    final = reply.completed(Answer(200))
+    final = response.completed(UpstreamResponse(200))
     monkeypatch.setattr(final, "status", 9999)
     waiting.get().answer(final)
     assert status(sock)[0] == 502 and d.counters.counts["faults"] == 1
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -16,7 +16,7 @@
 from myrtleroad.config.gate import Gate
 from myrtleroad.config.narrow import narrow
 from myrtleroad.config.nets import Networks, Plain
-from myrtleroad.net.told import decode
+from myrtleroad.net.node_config import decode_node_config
 
 TOLD = rules.Told(
     routes={"look": rules.RouteTold(800.0, 2000.0), "book": rules.RouteTold(800.0, 2000.0)},
@@ -301,7 +301,7 @@
 
 
 def test_facts_are_narrowed_and_never_widened():
-    told = decode(orjson.dumps(build_config()))
+    told = decode_node_config(orjson.dumps(build_config()))
     v = version.read(
         b'version 1\nroutes { route "look" timeout=(ms)900 most-tries=1 }\ntrial most-share=0.05'
     )
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -4,10 +4,10 @@
 from gevent import socket
 from gevent.queue import SimpleQueue
 
-from myrtleroad.net import door, reply
-from myrtleroad.net.brain import Gone, Taken
+from myrtleroad.net import client_listener, response
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
+from myrtleroad.net.dispatcher import ClientGone, RequestReceived
 
 GOOD = (
     b"GET /api HTTP/1.1\r\nHost: h\r\nX-Txn: 1\r\nX-Lane: look\r\nX-Org: acme\r\nX-Remaining-Ms: 480\r\n\r\n"
@@ -17,7 +17,7 @@
 def build_door(is_ready=True, sockets=1024):
     taken = SimpleQueue()
     told = build_told(limits={"sockets": sockets})
-    d = door.Door(told, Clock(), Counters(), silent, taken.put, lambda: is_ready)
+    d = client_listener.ClientListener(told, Clock(), Counters(), silent, taken.put, lambda: is_ready)
     gevent.spawn(d.run)
     return d, taken
 
@@ -45,12 +45,14 @@
     sock = client(d)
     for come_back, line in ((0.0, None), (250.0, b"Retry-After: 0.250")):
         sock.sendall(GOOD)
-        taken.get().answer(reply.shed(come_back))
+        taken.get().answer(response.shed(come_back))
         code, head, _ = status(sock)
         assert code == 503 and (line is None or line in head) and b"close" not in head
     sock.sendall(GOOD)
-    answer = reply.Answer(200, [(b"Content-Type", b"a/b"), (b"X-Pressure", b"TEXT active=1")], [b"he", b"y"])
-    taken.get().answer(reply.completed(answer))
+    answer = response.UpstreamResponse(
+        200, [(b"Content-Type", b"a/b"), (b"X-Pressure", b"TEXT active=1")], [b"he", b"y"]
+    )
+    taken.get().answer(response.completed(answer))
     code, head, body = status(sock)
     assert (code, body) == (200, b"hey") and b"a/b" in head and b"Pressure" not in head
 
@@ -86,7 +88,7 @@
     sock.sendall(GOOD.replace(was, becomes))
     assert status(sock)[0] == code
     sock.sendall(GOOD)  # framing was kept, so the connection serves on
-    assert isinstance(taken.get(), Taken)
+    assert isinstance(taken.get(), RequestReceived)
 
 
 @pytest.mark.parametrize(("data", "code"), [(b"nonsense\r\n\r\n", 400), (b"GET /" + b"a" * 20000, 431)])
@@ -105,7 +107,7 @@
     sock.sendall(GOOD)
     ident = taken.get().rq.id
     sock.close()
-    assert taken.get() == Gone(ident)
+    assert taken.get() == ClientGone(ident)
     assert not d.clients
 
 
@@ -116,10 +118,10 @@
     message = taken.get()
     sock.close()
     taken.get()
-    message.answer(reply.errored())
+    message.answer(response.bad_gateway())
     other = client(d)
     other.sendall(GOOD)
-    assert isinstance(taken.get(), Taken)
+    assert isinstance(taken.get(), RequestReceived)
 
 
 def test_a_front_that_is_not_ready_says_so():
@@ -136,9 +138,9 @@
     held = taken.get()
     more = [client(d) for _ in range(2)]
     more[-1].sendall(GOOD)
-    assert isinstance(taken.get(), Taken)
+    assert isinstance(taken.get(), RequestReceived)
     assert idle.recv(1) == b""
-    held.answer(reply.errored())
+    held.answer(response.bad_gateway())
     assert status(holding)[0] == 502
 
 
@@ -150,24 +152,24 @@
         message = taken.get()
         gevent.sleep(0)
         assert taken.empty()
-        message.answer(reply.shed(0.0))
+        message.answer(response.shed(0.0))
         assert status(sock)[0] == 503
 
 
 def test_a_client_that_leaves_with_reqs_behind_its_own_is_seen(monkeypatch):
-    monkeypatch.setattr(door, "LOOK_S", 0.001)
+    monkeypatch.setattr(client_listener, "LOOK_S", 0.001)
     d, taken = build_door()
     sock = client(d)
     sock.sendall(GOOD * 2)
     ident = taken.get().rq.id
     sock.close()
-    assert taken.get() == Gone(ident) and not d.clients
+    assert taken.get() == ClientGone(ident) and not d.clients
 
 
 @pytest.mark.parametrize(("data", "code"), [(b"", None), (GOOD[:30], 408), (GOOD[:-2], 408)])
 def test_a_connection_that_asks_nothing_whole_ends_in_time(monkeypatch, data, code):
     for name, value in (("IDLE_MS", 20.0), ("WHOLE_MS", 30.0), ("SWEEP_S", 0.005), ("LINGER_MS", 20.0)):
-        monkeypatch.setattr(door, name, value)
+        monkeypatch.setattr(client_listener, name, value)
     d, taken = build_door()
     sock = client(d)
     sock.sendall(data)
@@ -181,13 +183,13 @@
 
 def test_a_held_req_outlasts_the_limits_of_idle_connections(monkeypatch):
     for name, value in (("IDLE_MS", 5.0), ("WHOLE_MS", 5.0), ("SWEEP_S", 0.002)):
-        monkeypatch.setattr(door, name, value)
+        monkeypatch.setattr(client_listener, name, value)
     d, taken = build_door()
     sock = client(d)
     sock.sendall(GOOD)
     message = taken.get()
     gevent.sleep(0.03)
-    message.answer(reply.errored())
+    message.answer(response.bad_gateway())
     assert status(sock)[0] == 502
 
 
@@ -217,7 +219,7 @@
     silent_ones = [client(d) for _ in range(60)]
     sock = client(d)
     sock.sendall(GOOD)
-    taken.get().answer(reply.shed(0.0))
+    taken.get().answer(response.shed(0.0))
     assert status(sock)[0] == 503 and len(d.clients) <= 8 and len(silent_ones) == 60
 
 
@@ -225,14 +227,14 @@
     d, taken = build_door(sockets=100)
     few = client(d)
     few.sendall(GOOD)
-    taken.get().answer(reply.shed(0.0))
+    taken.get().answer(response.shed(0.0))
     assert b"Connection: close" not in status(few)[1]
     held = [client(d) for _ in range(26)]
     few.sendall(GOOD)
     message = taken.get()
     while len(d.clients) < 27:
         gevent.sleep(0.001)
-    message.answer(reply.shed(0.0))
+    message.answer(response.shed(0.0))
     code, head, _ = status(few)
     assert code == 503 and b"Connection: close" in head and len(held) == 26
     assert few.recv(1) == b""
@@ -245,12 +247,12 @@
     held = taken.get()
     d.stopping, at = True, d.sock.getsockname()
     late.sendall(GOOD)
-    taken.get().answer(reply.shed(0.0))
+    taken.get().answer(response.shed(0.0))
     code, head, _ = status(late)
     assert code == 503 and b"Connection: close" in head
     d.shut(d.clock())
     assert idle.recv(1) == b""
-    held.answer(reply.errored())
+    held.answer(response.bad_gateway())
     assert status(holding)[0] == 502
     with pytest.raises(ConnectionError):
         socket.create_connection(at)
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -1,7 +1,13 @@
 import pytest
 
 from myrtleroad import interface as i
-from myrtleroad.net.ending import Answer, Broken, Cause, Reach, of_try
+from myrtleroad.net.exchange_result import (
+    ExchangeFailure,
+    ExchangeProgress,
+    FailureCause,
+    UpstreamResponse,
+    outcome_of_attempt,
+)
 
 
 @pytest.mark.parametrize(
@@ -17,21 +23,29 @@
     ],
 )
 def test_an_answer_counts_as_turned_away_only_where_it_says_so(status, headers, end):
-    assert of_try(Answer(status, headers)) == end
+    assert outcome_of_attempt(UpstreamResponse(status, headers)) == end
 
 
-@pytest.mark.parametrize("cause", list(Cause))
+@pytest.mark.parametrize("cause", list(FailureCause))
 def test_what_was_not_written_whole_never_ran(cause):
-    for reach in (Reach.NOT_CONNECTED, Reach.CONNECTED):
-        assert of_try(Broken(reach, cause)) in i.NOT_EXECUTED
+    for reach in (ExchangeProgress.NOT_CONNECTED, ExchangeProgress.CONNECTED):
+        assert outcome_of_attempt(ExchangeFailure(reach, cause)) in i.NOT_EXECUTED
 
 
-@pytest.mark.parametrize("cause", [Cause.TIMEOUT, Cause.ENDED, Cause.UNREADABLE, Cause.CANCELLED])
+@pytest.mark.parametrize(
+    "cause", [FailureCause.TIMEOUT, FailureCause.ENDED, FailureCause.UNREADABLE, FailureCause.CANCELLED]
+)
 def test_what_was_written_whole_may_have_run(cause):
-    for reach in (Reach.WRITTEN, Reach.BEGUN):
-        assert of_try(Broken(reach, cause)) not in i.NOT_EXECUTED
+    for reach in (ExchangeProgress.WRITTEN, ExchangeProgress.BEGUN):
+        assert outcome_of_attempt(ExchangeFailure(reach, cause)) not in i.NOT_EXECUTED
 
 
 def test_a_req_that_ran_out_in_our_hands_does_not_count_against_the_machine():
-    assert of_try(Broken(Reach.CONNECTED, Cause.OVERDUE)) == i.Outcome.MOOT
-    assert of_try(Broken(Reach.NOT_CONNECTED, Cause.TIMEOUT)) == i.Outcome.NOT_CONNECTED
+    assert (
+        outcome_of_attempt(ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.OVERDUE))
+        == i.Outcome.MOOT
+    )
+    assert (
+        outcome_of_attempt(ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.TIMEOUT))
+        == i.Outcome.NOT_CONNECTED
+    )
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -13,13 +13,13 @@
 
 from myrtleroad import interface as i
 from myrtleroad.answers.account import off
-from myrtleroad.net import actor, brain, front, machine, reply, told
+from myrtleroad.net import actor, dispatcher, front, node_config, response, upstream_server
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.ending import Answer, Broken, Cause, Reach
-from myrtleroad.net.head import Message
+from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
+from myrtleroad.net.http1 import Message
 from myrtleroad.net.log import Log
-from myrtleroad.net.told import listing
+from myrtleroad.net.node_config import server_listing
 
 AT = ("127.0.0.1", 9)
 REQ = (
@@ -29,7 +29,7 @@
 
 def build_brain(*entries):
     """A module with these machines, whose actors do not run: what they are sent stays in their mailboxes."""
-    b = brain.Brain(build_told(*entries), Clock(), Counters(), silent)
+    b = dispatcher.Dispatcher(build_told(*entries), Clock(), Counters(), silent)
     b.start()
     return b
 
@@ -38,7 +38,7 @@
     answers = []
     rq = i.Request(ident, route, 0, None, b.clock() + within, 0.0, False)
     message = Message(b"GET", b"/api", fields={b"x-txn": word or b"a%d" % ident})
-    b.take(brain.Taken(rq, message, b.clock(), answers.append), b.clock())
+    b.take(dispatcher.RequestReceived(rq, message, b.clock(), answers.append), b.clock())
     return answers
 
 
@@ -48,12 +48,12 @@
 
 
 def ends(b, job, result, end):
-    b.take(machine.TryEnded(job, end, 5.0, result), b.clock())
+    b.take(upstream_server.AttemptResult(job, end, 5.0, result), b.clock())
 
 
 def change(**changes):
     m = {"generation": 8, "reset": False, "instances": [listed("s-1", AT, **changes)]}
-    return listing(m, {"here": 0}, {"small": 0})
+    return server_listing(m, {"here": 0}, {"small": 0})
 
 
 def balanced(b):
@@ -65,7 +65,7 @@
     answers = taken(b)
     (job,) = sent(b)
     assert not answers and balanced(b)
-    ends(b, job, Answer(200, [], [b"hi"]), i.Outcome.COMPLETED)
+    ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
     assert [(a.status, a.body) for a in answers] == [(200, [b"hi"])]
     assert not b.open and balanced(b)
 
@@ -74,7 +74,12 @@
     b = build_brain(listed("s-1", AT))
     taken(b)
     (first,) = sent(b)
-    ends(b, first, Broken(Reach.NOT_CONNECTED, Cause.REFUSED), i.Outcome.NOT_CONNECTED)
+    ends(
+        b,
+        first,
+        ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.REFUSED),
+        i.Outcome.NOT_CONNECTED,
+    )
     (second,) = sent(b)
     assert (first.try_no, second.try_no) == (0, 1)
     assert second.ends_at <= first.ends_at + 1
@@ -84,11 +89,11 @@
     b = build_brain(listed("s-1", AT))
     answers = taken(b)
     (job,) = sent(b)
-    b.take(brain.Gone(1), b.clock())
+    b.take(dispatcher.ClientGone(1), b.clock())
     assert balanced(b) and not b.open
     (known,) = b.balancer.machines.values()
     assert known.out
-    ends(b, job, Answer(200, [], [b"late"]), i.Outcome.COMPLETED)
+    ends(b, job, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
     assert not answers and not known.out and balanced(b)
 
 
@@ -117,7 +122,7 @@
     monkeypatch.setattr(b.balancer, "serve", waits)
     early, late = taken(b, 1), taken(b, 2)
     (job, _) = sent(b)
-    ends(b, job, Broken(Reach.WRITTEN, Cause.ENDED), i.Outcome.RESET)
+    ends(b, job, ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED), i.Outcome.RESET)
     b.ring(b.clock() + 60)
     assert [a.head for a in early] == [[]] and [a.head for a in late] == [[b"Retry-After: 0.001\r\n"]]
 
@@ -149,9 +154,13 @@
     b = build_brain(listed("s-1", AT))
     (actor,) = b.machines.values()
     b.take(change(hostPort="127.0.0.1:10"), b.clock())
-    assert actor.mailbox.get() == machine.Moved(("127.0.0.1", 10))
+    assert actor.mailbox.get() == upstream_server.ServerAddressChanged(("127.0.0.1", 10))
     b.take(change(lifecycle="terminated"), b.clock())
-    assert isinstance(actor.mailbox.get(), machine.Moved | machine.Leave) and not b.machines and not b.places
+    assert (
+        isinstance(actor.mailbox.get(), upstream_server.ServerAddressChanged | upstream_server.ServerRemoved)
+        and not b.machines
+        and not b.places
+    )
 
 
 @pytest.mark.parametrize(
@@ -170,7 +179,7 @@
     ],
 )
 def test_load_reports(header, load):
-    assert brain.reported(header) == load
+    assert dispatcher.reported_load(header) == load
 
 
 def test_a_log_that_nobody_reads_drops_lines_and_counts_them():
@@ -185,9 +194,11 @@
 
 
 def test_an_actor_goes_on_after_a_fault(monkeypatch):
-    monkeypatch.setattr(actor, "REST_S", 0.0)
+    monkeypatch.setattr(actor, "RESTART_DELAY_S", 0.0)
     counters, lines, messages = Counters(), [], [0, 2, 0]
-    actor.keep("peer", lambda: 1 / messages.pop(), counters, lambda *a, **fields: lines.append(fields))
+    actor.keep_running(
+        "peer", lambda: 1 / messages.pop(), counters, lambda *a, **fields: lines.append(fields)
+    )
     assert messages == [0] and counters.counts["faults"] == 1
     assert lines[0]["error"] == "ZeroDivisionError: division by zero"
 
@@ -196,8 +207,8 @@
     b = build_brain(listed("s-1", AT))
     answers = taken(b)
     held = b.open[1]
-    b.answer(held, reply.errored())
-    b.answer(held, reply.shed(0.0))
+    b.answer(held, response.bad_gateway())
+    b.answer(held, response.shed(0.0))
     assert [a.status for a in answers] == [502] and balanced(b)
 
 
@@ -206,9 +217,9 @@
     first = taken(b, 1, word=b"same")
     assert [a.status for a in taken(b, 2, word=b"same")] == [409]
     (job,) = sent(b)
-    b.take(brain.Gone(1), b.clock())
+    b.take(dispatcher.ClientGone(1), b.clock())
     assert [a.status for a in taken(b, 3, word=b"same")] == [409] and not first  # its try may still run
-    ends(b, job, Answer(200, [], [b"late"]), i.Outcome.COMPLETED)
+    ends(b, job, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
     assert not b.ids and taken(b, 4, word=b"same") == [] and len(sent(b)) == 1
 
 
@@ -217,7 +228,7 @@
     taken(b)
     (job,) = sent(b)
     assert b.stands(job)
-    b.take(brain.Gone(1), b.clock())
+    b.take(dispatcher.ClientGone(1), b.clock())
     assert not b.stands(job) and b.counters.counts["sends_stopped_by_leaving"] == 1
 
 
@@ -261,7 +272,9 @@
     limits = {"sockets": 512}
     file.write_bytes(orjson.dumps(build_config((), ("127.0.0.1", 11), ("127.0.0.1", 12), limits=limits)))
     program.reload()
-    assert [m.get() for m in moved] == [told.Moved(("127.0.0.1", port)) for port in (11, 12, 12)]
+    assert [m.get() for m in moved] == [
+        node_config.AddressChanged(("127.0.0.1", port)) for port in (11, 12, 12)
+    ]
     assert lines[-1][1]["kept_as_started"] == ["sockets"]
     program.door.sock.close()
 
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -2,14 +2,14 @@
 import pytest
 from gevent import socket
 
-from myrtleroad.net import head
+from myrtleroad.net import http1
 
 REQ = b"POST /api?x=1 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b\r\nX-Remaining-Ms: 480\r\n"
 REQ += b"Content-Length: 5\r\n\r\nhello"
 
 
 def fed(*chunks):
-    reader, whole = head.Requests(), []
+    reader, whole = http1.RequestParser(), []
     for chunk in chunks:
         data = memoryview(chunk)
         while data:
@@ -43,7 +43,7 @@
     ],
 )
 def test_unfit_input_is_told_apart(chunks, status):
-    with pytest.raises(head.Unfit) as unfit:
+    with pytest.raises(http1.HttpError) as unfit:
         fed(*chunks)
     assert unfit.value.status == status
 
@@ -54,7 +54,7 @@
 
 
 def test_of_many_reqs_in_one_read_one_is_taken_and_the_rest_are_left():
-    reader, data = head.Requests(), REQ * 300
+    reader, data = http1.RequestParser(), REQ * 300
     assert reader.feed(data) == len(REQ) and reader.whole
     assert reader.feed(data) == 0
 
@@ -81,7 +81,7 @@
     ],
 )
 def test_framing_that_may_hide_another_req_is_refused(lines, status):
-    with pytest.raises(head.Unfit) as unfit:
+    with pytest.raises(http1.HttpError) as unfit:
         fed(b"POST /api HTTP/1.1\r\nX-Txn: 1\r\n" + lines + b"\r\n\r\n0\r\n\r\n")
     assert unfit.value.status == status
 
@@ -103,7 +103,7 @@
 
 
 def answered(*chunks, stream=False):
-    reader = head.Answers(stream)
+    reader = http1.ResponseParser(stream)
     for chunk in chunks:
         reader.feed(memoryview(chunk))
     return reader
@@ -147,7 +147,7 @@
     ],
 )
 def test_a_spoilt_answer_is_unfit_and_bounded(chunks):
-    with pytest.raises(head.Unfit):
+    with pytest.raises(http1.HttpError):
         answered(*chunks)
 
 
@@ -162,7 +162,7 @@
 
 def test_forwarding_changes_only_framing_and_the_time_left():
     (message,) = fed(REQ.replace(b"Host: h", b"Host: h\r\nConnection: close\r\nX-Lane: look"))
-    sent = b"".join(head.forwarded(message, 333))
+    sent = b"".join(http1.forwarded_request(message, 333))
     assert sent.startswith(b"POST /api?x=1 HTTP/1.1\r\n") and sent.endswith(b"\r\n\r\nhello")
     for line in (b"X-Txn: 9b", b"X-Lane: look", b"X-Remaining-Ms: 333", b"Content-Length: 5"):
         assert sent.count(line + b"\r\n") == 1
@@ -171,14 +171,14 @@
 
 def test_a_get_goes_on_without_a_body():
     (message,) = fed(b"GET /api HTTP/1.1\r\nX-Txn: 1\r\n\r\n")
-    assert b"Content-Length" not in b"".join(head.forwarded(message, 1))
+    assert b"Content-Length" not in b"".join(http1.forwarded_request(message, 1))
 
 
 def test_a_write_longer_than_the_system_takes_at_once_arrives_whole():
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     parts = [b"head", b"x" * 50_000, b"", b"tail" * 5000]
-    writer = gevent.spawn(head.write, ours, parts)
+    writer = gevent.spawn(http1.send, ours, parts)
     got = b""
     while len(got) < 70_004:
         got += theirs.recv(65536)
@@ -189,14 +189,14 @@
 def test_looking_at_an_idle_connection_does_not_wait():
     # A look that waited for bytes held up a machine's actor, and every try behind it, until they came.
     ours, theirs = socket.socketpair()
-    looks = gevent.spawn(head.closed, ours)
+    looks = gevent.spawn(http1.is_stale, ours)
     gevent.sleep(0)
     assert looks.ready() and looks.value is False
     theirs.close()
-    assert head.closed(ours)
+    assert http1.is_stale(ours)
 
 
 def test_unasked_bytes_make_a_connection_unfit_for_use():
     ours, theirs = socket.socketpair()
     theirs.send(b"HTTP/1.1 408 Late\r\n\r\n")
-    assert head.closed(ours)
+    assert http1.is_stale(ours)
--- a/tests/test_lists_first.py
+++ b/tests/test_lists_first.py
@@ -13,12 +13,12 @@
 from gevent.event import Event
 
 from myrtleroad import interface as i
-from myrtleroad.net import brain, front, machine
+from myrtleroad.net import dispatcher, front, upstream_server
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.head import Message
-from myrtleroad.net.stream import Over
-from myrtleroad.net.told import Moved, listing
+from myrtleroad.net.http1 import Message
+from myrtleroad.net.node_config import AddressChanged, server_listing
+from myrtleroad.net.stream import StreamEnded
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CROWD = 150  # clients: more than the loop looks at in one turn
@@ -263,14 +263,14 @@
 
 def test_a_try_that_waits_for_its_connection_is_not_written_once_its_machine_drains(held, monkeypatch):
     h, go, waits = held(), Event(), []
-    connect = machine.Machine.connect
+    connect = upstream_server.UpstreamServer.connect
 
     def late(self, job):
         waits.append(job)
         go.wait()
         return connect(self, job)
 
-    monkeypatch.setattr(machine.Machine, "connect", late)
+    monkeypatch.setattr(upstream_server.UpstreamServer, "connect", late)
     h.connect(5)
     h.ask()
     while len(waits) < 5:
@@ -287,7 +287,7 @@
 def test_what_comes_between_the_connection_and_the_first_byte_is_seen(held, monkeypatch):
     h = held()
     h.rows.append(listed("s-2", h.second.at))
-    text, connect = h.listing(9, {"lifecycle": "terminating"}, {}), machine.Machine.connect
+    text, connect = h.listing(9, {"lifecycle": "terminating"}, {}), upstream_server.UpstreamServer.connect
     told_at = []
 
     def then_told(self, job):
@@ -296,7 +296,7 @@
             told_at.append(h.discovery.conns[0].send(text))
         return link
 
-    monkeypatch.setattr(machine.Machine, "connect", then_told)
+    monkeypatch.setattr(upstream_server.UpstreamServer, "connect", then_told)
     h.connect(1)
     h.ask()
     met, got = h.answered()
@@ -308,7 +308,7 @@
     roster = h.front.roster
     gevent.sleep(0.01)  # it sleeps until the next sign of life is late
     stream = roster.streams[0]
-    roster.mailbox.put(Over(stream, "reset"))
+    roster.mailbox.put(StreamEnded(stream, "reset"))
     roster.settle()  # as the brain's look does
     at = h.front.clock()
     while len(h.discovery.conns) < 2:
@@ -334,20 +334,22 @@
 
 
 def test_a_thousand_reqs_in_the_mailbox_wait_behind_a_list():
-    b = brain.Brain(build_told(listed("s-1", ("127.0.0.1", 9))), Clock(), Counters(), silent)
+    b = dispatcher.Dispatcher(build_told(listed("s-1", ("127.0.0.1", 9))), Clock(), Counters(), silent)
     b.start()
     running = gevent.spawn(b.run)
     gevent.sleep(0.001)
     answers = []
     for n in range(1000):
         rq = i.Request(n, 0, 0, None, b.clock() + 1000.0, 0.0, False)
-        b.mailbox.put(brain.Taken(rq, Message(fields={b"x-txn": b"%d" % n}), b.clock(), answers.append))
+        b.mailbox.put(
+            dispatcher.RequestReceived(rq, Message(fields={b"x-txn": b"%d" % n}), b.clock(), answers.append)
+        )
     m = {
         "generation": 8,
         "reset": False,
         "instances": [listed("s-1", ("127.0.0.1", 9), lifecycle="terminating")],
     }
-    b.tell(listing(m, {"here": 0}, {"small": 0}))
+    b.tell(server_listing(m, {"here": 0}, {"small": 0}))
     gevent.sleep(0.001)
     while b.mailbox.qsize():
         gevent.sleep(0.001)
@@ -359,7 +361,7 @@
     h, other = held(), Listener()
     h.warm(1)
     reset(h.discovery.conns.pop())
-    h.front.roster.post(Moved(other.at))
+    h.front.roster.post(AddressChanged(other.at))
     text = h.listing(3, reset=True)  # a numbering of its own
     other.opened().send(HEAD + text)
     h.rows.append(listed("s-2", h.second.at))
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -8,7 +8,7 @@
 from test_front import AT, build_brain, sent, taken
 
 from myrtleroad.net.clock import Clock
-from myrtleroad.net.log import LEVEL_VARIABLE, Log, level_of
+from myrtleroad.net.log import LEVEL_VARIABLE, Log, level_from_environment
 
 
 def lines(log):
@@ -35,6 +35,8 @@
 
 
 def test_a_level_that_does_not_exist_is_named():
-    assert level_of({}) == "info" and level_of({LEVEL_VARIABLE: "debug"}) == "debug"
+    assert (
+        level_from_environment({}) == "info" and level_from_environment({LEVEL_VARIABLE: "debug"}) == "debug"
+    )
     with pytest.raises(ValueError, match="loud"):
-        level_of({LEVEL_VARIABLE: "loud"})
+        level_from_environment({LEVEL_VARIABLE: "loud"})
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -6,18 +6,18 @@
 from gevent.queue import SimpleQueue
 
 from myrtleroad import interface as i
-from myrtleroad.net import machine
+from myrtleroad.net import upstream_server
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.head import Message
+from myrtleroad.net.http1 import Message
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 
 def build_machine(at, stands=lambda job: True, most=100):
     ended = SimpleQueue()
-    args = (build_told(), Clock(), Counters(), machine.Share(most), ended.put, stands)
-    actor = machine.Machine(at, *args)
+    args = (build_told(), Clock(), Counters(), upstream_server.ConnectionBudget(most), ended.put, stands)
+    actor = upstream_server.UpstreamServer(at, *args)
     gevent.spawn(actor.run)
     return actor, ended
 
@@ -25,11 +25,11 @@
 def job(ident=1, within=2000.0):
     now = Clock()()
     message = Message(b"POST", b"/api", [(b"X-Txn", b"a%d" % ident)], body=b"body")
-    return machine.Job(ident, 0, 0, message, now, now + within, ())
+    return upstream_server.AttemptJob(ident, 0, 0, message, now, now + within, ())
 
 
 def tried(actor, ended, **changes):
-    actor.mailbox.put(machine.Go(job(**changes)))
+    actor.mailbox.put(upstream_server.StartAttempt(job(**changes)))
     return ended.get()
 
 
@@ -73,7 +73,7 @@
         raise OSError(errno.EMFILE, "too many open files")
 
     actor, ended = build_machine(Peer(answering(OK)).at)
-    monkeypatch.setattr(machine.socket, "socket", none_left)
+    monkeypatch.setattr(upstream_server.socket, "socket", none_left)
     assert tried(actor, ended).end == i.Outcome.MOOT
 
 
@@ -112,7 +112,7 @@
     peer = Peer(first, answering(OK))
     actor, ended = build_machine(peer.at)
     assert tried(actor, ended).end == i.Outcome.COMPLETED
-    while not actor.idle or not machine.head.closed(actor.idle[-1].sock):
+    while not actor.idle or not upstream_server.http1.is_stale(actor.idle[-1].sock):
         gevent.sleep(0.001)
     assert tried(actor, ended, ident=2).end == i.Outcome.COMPLETED
     assert peer.met == 2
@@ -128,7 +128,7 @@
     actor, ended = build_machine(Peer(talk).at, stands=lambda job: False)
     assert tried(actor, ended).end == i.Outcome.MOOT
     gevent.sleep(0)
-    actor.mailbox.put(machine.Leave())
+    actor.mailbox.put(upstream_server.ServerRemoved())
     while not came:
         gevent.sleep(0.001)
     assert came == [b""]
@@ -140,8 +140,8 @@
 
 def test_a_try_called_off_before_it_began_still_ends():
     actor, ended = build_machine(Peer(answering(OK)).at)
-    actor.mailbox.put(machine.Go(job()))
-    actor.mailbox.put(machine.CallOff(1, 0))
+    actor.mailbox.put(upstream_server.StartAttempt(job()))
+    actor.mailbox.put(upstream_server.StopAttempt(1, 0))
     assert ended.get().end in (i.Outcome.CANCELLED, i.Outcome.NOT_CONNECTED)
 
 
@@ -154,9 +154,9 @@
         sock.recv(1)
 
     actor, ended = build_machine(Peer(talk).at)
-    actor.mailbox.put(machine.Go(job()))
+    actor.mailbox.put(upstream_server.StartAttempt(job()))
     written.wait()
-    actor.mailbox.put(machine.CallOff(1, 0))
+    actor.mailbox.put(upstream_server.StopAttempt(1, 0))
     assert ended.get().end == i.Outcome.CANCELLED
 
 
@@ -164,7 +164,7 @@
     peer = Peer(answering(OK, OK), answering(OK))
     actor, ended = build_machine(peer.at)
     tried(actor, ended)
-    actor.mailbox.put(machine.Moved(peer.at))
+    actor.mailbox.put(upstream_server.ServerAddressChanged(peer.at))
     tried(actor, ended, ident=2)
     assert peer.met == 2
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,11 +7,11 @@
 from gevent.queue import SimpleQueue
 
 from myrtleroad import interface as i
-from myrtleroad.net import desk, head, roster, stream, told
+from myrtleroad.net import discovery, http1, node_config, platform, stream
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.ending import Answer, Broken, Cause, Reach
-from myrtleroad.net.lookout import Lookout
+from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
+from myrtleroad.net.stream_poller import StreamPoller
 
 AT = ("127.0.0.1", 8443)
 FIRST = {"generation": 8, "reset": False, "instances": [listed("s-1", AT, lifecycle="terminating")]}
@@ -22,14 +22,14 @@
 
 def build_roster(at=("127.0.0.1", 9), **changes):
     said = SimpleQueue()
-    post = stream.Post(Clock(), said.put, Lookout())
-    return roster.Roster(build_told(discovery=at, **changes), Counters(), silent, post), said
+    post = stream.FollowerContext(Clock(), said.put, StreamPoller())
+    return discovery.DiscoveryClient(build_told(discovery=at, **changes), Counters(), silent, post), said
 
 
 def build_bulletin(at=("127.0.0.1", 9)):
     said = SimpleQueue()
-    post = stream.Post(Clock(), said.put, Lookout())
-    return desk.Bulletin(build_told(platform=at), Counters(), silent, post), said
+    post = stream.FollowerContext(Clock(), said.put, StreamPoller())
+    return platform.StageUpdates(build_told(platform=at), Counters(), silent, post), said
 
 
 class Still(stream.Stream):
@@ -50,7 +50,7 @@
 
 def following(follower):
     follower.open = lambda number: Still(follower, number)
-    if isinstance(follower, roster.Roster):
+    if isinstance(follower, discovery.DiscoveryClient):
         follower.sources[0] = 0
     follower.carry(follower.following.want(follower.clock()))
     del follower.open
@@ -60,12 +60,12 @@
 def moved(r, port):
     r.open = lambda number: Still(r, number)
     r.sources[r.following.next] = r.following.source + 1
-    r.take(told.Moved(("127.0.0.1", port)))
+    r.take(node_config.AddressChanged(("127.0.0.1", port)))
     del r.open
     return r.streams[max(r.streams)]
 
 
-def lists_of(said, kind=told.Listing):
+def lists_of(said, kind=node_config.ServerListing):
     """What was delivered so far, of one kind."""
     got = [said.get() for _ in range(said.qsize())]
     return [m for m in got if isinstance(m, kind)]
@@ -119,7 +119,7 @@
         i.ListFreshness.FRESH,
         i.ListFreshness.BLIND,
     ]
-    assert [m.version for m in got if isinstance(m, told.Listing)] == [8, 9]
+    assert [m.version for m in got if isinstance(m, node_config.ServerListing)] == [8, 9]
     assert asked == [b"GET /api/targets?watch=1&after=7 HTTP/1.1"]
     running.kill()
 
@@ -193,9 +193,9 @@
 
 
 def test_a_line_without_end_ends_its_connection(monkeypatch):
-    monkeypatch.setattr(stream, "LINE_LIMIT", 100)
+    monkeypatch.setattr(stream, "MAX_LINE_BYTES", 100)
     r, _ = build_roster()
-    with pytest.raises(head.Unfit):
+    with pytest.raises(http1.HttpError):
         following(r).take(b"x" * 101)
 
 
@@ -211,7 +211,7 @@
     r, said = build_roster()
     old = following(r)
     told_by(r, old, lists(8))
-    r.take(told.Moved(Peer(new).at))
+    r.take(node_config.AddressChanged(Peer(new).at))
     while not asked:
         gevent.sleep(0.001)
     told_by(r, old, lists(9))
@@ -231,7 +231,7 @@
     new = moved(r, 10)
     told_by(r, new, lists(8, reset=True))
     assert [m.version for m in lists_of(said)] == [9] and list(r.streams) == [0, 1]
-    r.mailbox.put(stream.Over(old, "ended"))
+    r.mailbox.put(stream.StreamEnded(old, "ended"))
     told_by(r, new, b"")  # a sole one's word stands, whatever its numbers
     assert [m.version for m in lists_of(said)] == [8] and r.book.source == 1
 
@@ -243,7 +243,7 @@
     for port in (10, 11):
         new = moved(r, port)
     assert new.at == ("127.0.0.1", 11) and r.streams[0] is old
-    r.take(stream.Over(new, "refused", reached=False))
+    r.take(stream.StreamEnded(new, "refused", reached=False))
     assert r.following.sight == i.ListFreshness.FRESH and r.following.due() < r.clock() + 500
 
 
@@ -294,26 +294,26 @@
 @pytest.mark.parametrize(
     ("result", "end"),
     [
-        (Answer(200, [], [STATE]), i.Outcome.COMPLETED),
-        (Answer(200, [], [STATE[:-30]]), i.Outcome.TIMEOUT),
-        (Answer(200, [], [b"<Response/>"]), i.Outcome.TIMEOUT),
-        (Answer(400, [], xml(b"throttled")), i.Outcome.FULL),
-        (Answer(400, [], [b"<Response>%b</Response>" % xml(b"throttled")[0]]), i.Outcome.FULL),
-        (Answer(400, [], xml(b"conflict")), i.Outcome.MOOT),
-        (Answer(400, [], xml(b"invalid")), i.Outcome.ERRORED),
-        (Answer(500, [], xml(b"internal")), i.Outcome.ERRORED),
-        (Answer(500, [], [b"no"]), i.Outcome.TIMEOUT),
-        (Answer(400, [], xml(b"other")), i.Outcome.TIMEOUT),
-        (Answer(503, [], xml(b"throttled")), i.Outcome.TIMEOUT),
-        (Answer(200, [], [STATE.replace(b"0.28", b"nan")]), i.Outcome.TIMEOUT),
-        (Broken(Reach.NOT_CONNECTED, Cause.ENDED), i.Outcome.ERRORED),
-        (Broken(Reach.CONNECTED, Cause.ENDED), i.Outcome.ERRORED),
-        (Broken(Reach.WRITTEN, Cause.ENDED), i.Outcome.TIMEOUT),
-        (Broken(Reach.BEGUN, Cause.UNREADABLE), i.Outcome.TIMEOUT),
+        (UpstreamResponse(200, [], [STATE]), i.Outcome.COMPLETED),
+        (UpstreamResponse(200, [], [STATE[:-30]]), i.Outcome.TIMEOUT),
+        (UpstreamResponse(200, [], [b"<Response/>"]), i.Outcome.TIMEOUT),
+        (UpstreamResponse(400, [], xml(b"throttled")), i.Outcome.FULL),
+        (UpstreamResponse(400, [], [b"<Response>%b</Response>" % xml(b"throttled")[0]]), i.Outcome.FULL),
+        (UpstreamResponse(400, [], xml(b"conflict")), i.Outcome.MOOT),
+        (UpstreamResponse(400, [], xml(b"invalid")), i.Outcome.ERRORED),
+        (UpstreamResponse(500, [], xml(b"internal")), i.Outcome.ERRORED),
+        (UpstreamResponse(500, [], [b"no"]), i.Outcome.TIMEOUT),
+        (UpstreamResponse(400, [], xml(b"other")), i.Outcome.TIMEOUT),
+        (UpstreamResponse(503, [], xml(b"throttled")), i.Outcome.TIMEOUT),
+        (UpstreamResponse(200, [], [STATE.replace(b"0.28", b"nan")]), i.Outcome.TIMEOUT),
+        (ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.ENDED), i.Outcome.ERRORED),
+        (ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.ENDED), i.Outcome.ERRORED),
+        (ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED), i.Outcome.TIMEOUT),
+        (ExchangeFailure(ExchangeProgress.BEGUN, FailureCause.UNREADABLE), i.Outcome.TIMEOUT),
     ],
 )
 def test_what_came_of_a_vote(result, end):
-    news = desk.news_of(result)
+    news = platform.vote_result(result)
     assert news.outcome == end and news.answers_vote
     if end == i.Outcome.COMPLETED:
         assert (news.build, news.stage, news.phase, news.cap) == (42, 1, i.RolloutPhase.ON_TRIAL, 0.28)
@@ -327,7 +327,7 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(STATE) + STATE)
 
     peer, said = Peer(talk, talk), SimpleQueue()
-    d = desk.Desk(build_told(platform=peer.at), Counters(), silent, said.put)
+    d = platform.VoteCaster(build_told(platform=peer.at), Counters(), silent, said.put)
     gevent.spawn(d.run)
     for verdict in (i.Verdict.ON, i.Verdict.BACK):
         d.mailbox.put(i.Vote(42, verdict, 1))
@@ -344,9 +344,9 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(STATE) + STATE)
 
     peer, said = Peer(talk), SimpleQueue()
-    d = desk.Desk(build_told(), Counters(), silent, said.put)
+    d = platform.VoteCaster(build_told(), Counters(), silent, said.put)
     gevent.spawn(d.run)
-    d.mailbox.put(told.Moved(peer.at))
+    d.mailbox.put(node_config.AddressChanged(peer.at))
     d.mailbox.put(i.Vote(42, i.Verdict.ON, 1))
     assert said.get().outcome == i.Outcome.COMPLETED and len(forms) == 1
 
@@ -356,9 +356,11 @@
         read_req(sock)
         sock.recv(1)
 
-    d = desk.Desk(build_told(platform=Peer(talk).at), Counters(), silent, None)
+    d = platform.VoteCaster(build_told(platform=Peer(talk).at), Counters(), silent, None)
     d.wait_s = 0.02
-    assert d.cast(i.Vote(1, i.Verdict.ON, 0)) == Broken(Reach.WRITTEN, Cause.TIMEOUT)
+    assert d.cast(i.Vote(1, i.Verdict.ON, 0)) == ExchangeFailure(
+        ExchangeProgress.WRITTEN, FailureCause.TIMEOUT
+    )
 
 
 def test_the_start_is_decoded_once():
@@ -383,8 +385,8 @@
     ],
 )
 def test_a_configuration_that_cannot_be_read_is_one_plain_line(text):
-    with pytest.raises(told.Unclear) as fault:
-        told.decode(text)
+    with pytest.raises(node_config.ConfigError) as fault:
+        node_config.decode_node_config(text)
     assert "\n" not in str(fault.value)
 
 
@@ -406,7 +408,7 @@
 def test_a_whole_list_without_an_end_is_given_up():
     def talk(sock):
         read_req(sock)
-        sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (stream.LINE_LIMIT + 1))
+        sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (stream.MAX_LINE_BYTES + 1))
 
     r, _ = build_roster(Peer(talk).at)
     assert r.fetch(0).said is None
