--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -20,8 +20,8 @@
 
 import click
 
-from myrtleroad.membership.asking import Manner
-from myrtleroad.membership.following import Following, Open
+from myrtleroad.membership.call_backoff import FollowerSettings
+from myrtleroad.membership.stream_follower import OpenStream, StreamFollower
 from myrtleroad.net.stream_poller import StreamPoller
 
 GRACE_MS, SIGN_MS, MOST_MS = 250.0, 2000.0, 10000.0
@@ -69,20 +69,20 @@
     """The follower as it is, its pure part driven by this loop."""
 
     def __init__(self, fronts: int, random: Callable[[], float]):
-        self.following = Following(Manner(fronts, GRACE_MS, SIGN_MS, MOST_MS), random, 0.0)
+        self.following = StreamFollower(FollowerSettings(fronts, GRACE_MS, SIGN_MS, MOST_MS), random, 0.0)
         self.number = -1
 
     def first(self, now: float) -> float:
-        (act,) = self.following.want(now)
+        (act,) = self.following.start(now)
         self.number = act.stream
         return now
 
     def after(self, now: float, told_at: float | None) -> float:
         if told_at is not None:
-            self.following.told(self.number, told_at)
-        self.following.ended(self.number, now, "ended")
+            self.following.message_received(self.number, told_at)
+        self.following.stream_ended(self.number, now, "ended")
         at = self.following.due()
-        (self.number,) = [a.stream for a in self.following.tick(at) if isinstance(a, Open)]
+        (self.number,) = [a.stream for a in self.following.tick(at) if isinstance(a, OpenStream)]
         return at
 
 
--- a/myrtleroad/drill/host.py
+++ b/myrtleroad/drill/host.py
@@ -8,7 +8,7 @@
 from myrtleroad.drill import codec
 from myrtleroad.facts import facts
 from myrtleroad.life import Life
-from myrtleroad.membership.asking import Asking, Manner, Service
+from myrtleroad.membership.call_backoff import CallBackoff, FollowerSettings, ServiceKind
 from myrtleroad.policy.balancer import Balancer
 
 WAKE, ASK = 0, 1  # the cookies of the module's wake-up and of asking for the list; those above are of reqs
@@ -25,10 +25,10 @@
         rules = known.server_rules
         most_ms, service = (
             rules.max_poll_interval_ms or float("inf"),
-            Service.SHARED,
+            ServiceKind.SHARED,
         )  # a list that is asked for
-        manner = Manner(known.balancers, rules.drain_grace_ms, SIGN_MS, most_ms, service)
-        self.asks, self.asking = known.list_on_request, Asking(manner, Random(seed).random)
+        manner = FollowerSettings(known.balancers, rules.drain_grace_ms, SIGN_MS, most_ms, service)
+        self.asks, self.asking = known.list_on_request, CallBackoff(manner, Random(seed).random)
         self.told: float | None = None  # when the list was first told since the last failure
         self.index: dict[str, int] = {}  # machine words; grows with the fleet, never with reqs
         self.words: list[str] = []
@@ -101,7 +101,7 @@
     def ask_again(self, now: float) -> None:
         stood = None if self.told is None else now - self.told
         self.told = None
-        self.put(codec.action(i.WakeAt(now + self.asking.pause(stood)), None, None, ASK))
+        self.put(codec.action(i.WakeAt(now + self.asking.next_pause_ms(stood)), None, None, ASK))
 
     def drop(self, held: Life) -> None:
         held.end()
--- a/myrtleroad/membership/startclock.py
+++ b/myrtleroad/membership/start_clock.py
@@ -8,7 +8,7 @@
 
 
 class StartClock:
-    """``offset`` is what is added to this front's time to have that of the servers' clock."""
+    """``offset_ms`` is what is added to this front's time to have that of the servers' clock."""
 
     __slots__ = ("least", "watched")
 
@@ -16,7 +16,7 @@
         self.least = float("-inf")  # the servers' clock is ahead of ours by this at least
         self.watched = float("-inf")  # the same, by starts that came as they happened
 
-    def told(self, started: float, now: float, watched: bool) -> None:
+    def observe(self, started: float, now: float, watched: bool) -> None:
         """A start that is listed now; ``watched``: it came on a watch that has been followed all along."""
         if started <= 0:
             return  # long ago, nobody says when
@@ -24,7 +24,7 @@
         if watched:
             self.watched = max(self.watched, started - now)
 
-    def offset(self) -> float:
+    def offset_ms(self) -> float:
         """0 where the wall clock agrees with what was told, else what the quickest news says: by that a start
         looks younger than it is by as long as that news took, and never older."""
         ahead = self.watched + NOTICE_MS < 0 and self.watched > float("-inf")
--- a/myrtleroad/membership/following.py
+++ b/myrtleroad/membership/stream_follower.py
@@ -8,138 +8,138 @@
 from dataclasses import dataclass
 
 from myrtleroad.interface import ListFreshness
-from myrtleroad.membership.asking import Asking, Manner
+from myrtleroad.membership.call_backoff import CallBackoff, FollowerSettings
 from myrtleroad.membership.lease import ListLease
 
 
 @dataclass(slots=True, frozen=True)
-class Open:
+class OpenStream:
     """Begin a stream under this number, at the address that holds now."""
 
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
-class Close:
+class CloseStream:
     stream: int
     why: str
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class FreshnessChanged:
     """The sight has changed."""
 
-    sight: ListFreshness
-    since: float  # when the last word or sign of life came
+    freshness: ListFreshness
+    confirmed_at: float  # when the last word or sign of life came
     why: str
 
 
-Act = Open | Close | Seen
+FollowerAction = OpenStream | CloseStream | FreshnessChanged
 
 
 @dataclass(slots=True)
-class Standing:
+class StreamState:
     """One stream that is open or being opened."""
 
     source: int  # counts the addresses; streams of one source tell one numbering
-    begun: float
-    heard: float  # the last byte; its beginning before any
-    told: float | None = None  # when it first told something
+    opened_at: float
+    last_received_at: float  # the last byte; its beginning before any
+    first_message_at: float | None = None  # when it first told something
 
 
-class Following:
+class StreamFollower:
     DOUBT = 1.3  # signs of life late by this much of their interval are missing; loops are held for tenths
     GIVE_UP = 2.25  # intervals without a sign: two have been missed, with some room
     OPENING_MS = 2500.0  # for a connection and a first word: a service answers in ms, one in a queue in 2 s
-    LEAVE_MS = 5000.0  # a source that was left is read for so long at most once the new one speaks
+    OLD_SOURCE_READ_MS = 5000.0  # a source that was left is read for so long at most once the new one speaks
 
     __slots__ = (
-        "again",
         "asking",
+        "confirmed_at",
+        "freshness",
         "lease",
         "manner",
-        "next",
-        "sight",
-        "since",
+        "next_open_at",
+        "next_stream",
         "source",
         "streams",
         "wanted",
     )
 
-    def __init__(self, manner: Manner, chance: Callable[[], float], now: float):
-        self.manner, self.asking = manner, Asking(manner, chance)
-        self.streams: dict[int, Standing] = {}  # in the order of their numbers: the one
+    def __init__(self, manner: FollowerSettings, chance: Callable[[], float], now: float):
+        self.manner, self.asking = manner, CallBackoff(manner, chance)
+        self.streams: dict[int, StreamState] = {}  # in the order of their numbers: the one
         # that stands, one beside it, and after a move one that was left
-        self.next, self.source, self.wanted = 0, 0, False
-        self.again: float | None = None  # when to ask again, where no stream is held
-        self.sight, self.since = ListFreshness.BLIND, now
+        self.next_stream, self.source, self.wanted = 0, 0, False
+        self.next_open_at: float | None = None  # when to ask again, where no stream is held
+        self.freshness, self.confirmed_at = ListFreshness.BLIND, now
         self.lease: ListLease | None = None  # of what is followed, where that expires
 
     # --- events ---
 
-    def want(self, now: float) -> list[Act]:
+    def start(self, now: float) -> list[FollowerAction]:
         """Follow from now on; where it is followed or asked already, nothing."""
         if self.wanted:
             return []
         self.wanted = True
         return [self.open(now)]
 
-    def heard(self, stream: int, now: float) -> list[Act]:
+    def bytes_received(self, stream: int, now: float) -> list[FollowerAction]:
         """Any byte, a sign of life too."""
         if (s := self.streams.get(stream)) is not None:
-            s.heard = now
+            s.last_received_at = now
         return self.look(now, "heard again")
 
-    def told(self, stream: int, now: float) -> list[Act]:
+    def message_received(self, stream: int, now: float) -> list[FollowerAction]:
         """It has told something that could be read: the streams before it have done their part."""
         s = self.streams.get(stream)
         if s is None:
             return []
-        s.heard = now
-        s.told = now if s.told is None else s.told
+        s.last_received_at = now
+        s.first_message_at = now if s.first_message_at is None else s.first_message_at
         if self.lease is not None and s.source == self.source:
-            self.lease.arrived()
-        acts: list[Act] = [self.close(n, "another one tells") for n in self.streams if n < stream]
+            self.lease.new_address_confirmed()
+        acts: list[FollowerAction] = [self.close(n, "another one tells") for n in self.streams if n < stream]
         for act in acts:
             del self.streams[act.stream]
         return acts + self.look(now, "told")
 
-    def ended(self, stream: int, now: float, why: str, reached: bool = True) -> list[Act]:
-        """``reached``: a connection for it had come up."""
+    def stream_ended(self, stream: int, now: float, why: str, connected: bool = True) -> list[FollowerAction]:
+        """``connected``: a connection for it had come up."""
         s = self.streams.pop(stream, None)
         if s is None:
             return []
-        self.parted(s, now, reached)
+        self.parted(s, now, connected)
         return self.look(now, why)
 
-    def moved(self, now: float) -> list[Act]:
+    def address_changed(self, now: float) -> list[FollowerAction]:
         """Another address holds from now on: it is asked at once, and the old stream read until the new one
         has told something. Guards against a word lost between the two, and against a pause begun before."""
         self.source += 1
         self.wanted = True
         if self.lease is not None:
-            self.lease.moved(now)
+            self.lease.address_changed(now)
         # Guards against a row of moves: of what was left only what has told something is still read.
-        telling = [n for n, x in self.streams.items() if x.told is not None]
+        telling = [n for n, x in self.streams.items() if x.first_message_at is not None]
         left = [n for n in self.streams if n not in telling[-1:]]
-        acts: list[Act] = [self.close(n, "left") for n in left]
+        acts: list[FollowerAction] = [self.close(n, "left") for n in left]
         for n in left:
             del self.streams[n]
         return [*acts, self.open(now)]
 
-    def tick(self, now: float) -> list[Act]:
+    def tick(self, now: float) -> list[FollowerAction]:
         """What only the clock tells. To be called with all that has come already taken in: a loop that was
         held must not take its own silence for that of the other side."""
-        acts: list[Act] = []
+        acts: list[FollowerAction] = []
         for number, s in list(self.streams.items()):
             if now >= self.ends(s):
                 del self.streams[number]
                 acts.append(self.close(number, "silent"))
                 self.parted(s, now)
-        if self.again is not None and now >= self.again:
+        if self.next_open_at is not None and now >= self.next_open_at:
             acts.append(self.open(now))
         acts += self.look(now, "silent")
-        if self.again is None and (last := self.last()) is not None and now >= self.doubt(last):
+        if self.next_open_at is None and (last := self.last()) is not None and now >= self.doubt(last):
             # Guards against a half-open connection: another is asked beside it, and both are read.
             acts.append(self.open(now))
         return acts
@@ -149,72 +149,78 @@
     def due(self) -> float:
         """When ``tick`` has something to do."""
         times = [self.ends(s) for s in self.streams.values()]
-        if self.again is not None:
-            times.append(self.again)
+        if self.next_open_at is not None:
+            times.append(self.next_open_at)
         elif (last := self.last()) is not None:
             times.append(self.doubt(last))
         return min(times, default=float("inf"))
 
-    def age(self, now: float) -> float:
+    def age_ms(self, now: float) -> float:
         """How long ago the last word or sign of life came, in ms."""
-        return now - self.since
+        return now - self.confirmed_at
 
-    def sole(self, stream: int) -> bool:
+    def is_sole_source(self, stream: int) -> bool:
         """Whether no stream of another source has told anything and still stands."""
         s = self.streams.get(stream)
         return s is not None and not any(
-            x.told is not None and x.source != s.source for x in self.streams.values()
+            x.first_message_at is not None and x.source != s.source for x in self.streams.values()
         )
 
-    def last(self) -> Standing | None:
+    def last(self) -> StreamState | None:
         """The newest stream, if it has told something: it is the one to be doubted."""
         s = next(reversed(self.streams.values()), None)
-        return s if s is not None and s.told is not None else None
+        return s if s is not None and s.first_message_at is not None else None
 
-    def open(self, now: float) -> Open:
-        number, self.next, self.again = self.next, self.next + 1, None
-        self.streams[number] = Standing(self.source, now, now)
+    def open(self, now: float) -> OpenStream:
+        number, self.next_stream, self.next_open_at = self.next_stream, self.next_stream + 1, None
+        self.streams[number] = StreamState(self.source, now, now)
         if self.lease is not None:
-            self.lease.waits(True)
-        return Open(number)
+            self.lease.set_call_pending(True)
+        return OpenStream(number)
 
-    def close(self, number: int, why: str) -> Close:
-        return Close(number, why)
+    def close(self, number: int, why: str) -> CloseStream:
+        return CloseStream(number, why)
 
-    def parted(self, s: Standing, now: float, reached: bool = True) -> None:
+    def parted(self, s: StreamState, now: float, connected: bool = True) -> None:
         """A stream has gone. Another is due, after the pause that its end asks for, where none of the present
         source is left, or only one that is in doubt."""
         mine = [x for x in self.streams.values() if x.source == self.source]
-        if not mine or all(x.told is not None and now >= self.doubt(x) for x in mine):
-            self.again = now + self.asking.pause(None if s.told is None else now - s.told, reached)
+        if not mine or all(x.first_message_at is not None and now >= self.doubt(x) for x in mine):
+            self.next_open_at = now + self.asking.next_pause_ms(
+                None if s.first_message_at is None else now - s.first_message_at, connected
+            )
 
-    def ends(self, s: Standing) -> float:
+    def ends(self, s: StreamState) -> float:
         """When a stream that says nothing more is given up, or one that was left."""
-        if s.heard == s.begun:
-            return s.begun + self.OPENING_MS
-        end = s.heard + self.GIVE_UP * self.manner.sign_ms
-        spoke = [x.begun for x in self.streams.values() if x.source > s.source and x.heard > x.begun]
-        return min([end, *(at + self.LEAVE_MS for at in spoke)])
-
-    def doubt(self, s: Standing) -> float:
+        if s.last_received_at == s.opened_at:
+            return s.opened_at + self.OPENING_MS
+        end = s.last_received_at + self.GIVE_UP * self.manner.heartbeat_interval_ms
+        spoke = [
+            x.opened_at
+            for x in self.streams.values()
+            if x.source > s.source and x.last_received_at > x.opened_at
+        ]
+        return min([end, *(at + self.OLD_SOURCE_READ_MS for at in spoke)])
+
+    def doubt(self, s: StreamState) -> float:
         """From when a stream that says nothing is in doubt."""
-        return s.heard + self.DOUBT * self.manner.sign_ms
+        return s.last_received_at + self.DOUBT * self.manner.heartbeat_interval_ms
 
     def renew(self, now: float, followed: bool) -> None:
         """The lease learns what stands."""
         if self.lease is None:
             return
         if followed:
-            self.lease.followed(self.since)
+            self.lease.confirm(self.confirmed_at)
         else:
-            self.lease.lost(now, self.sight is not ListFreshness.FRESH)
-        self.lease.waits(any(s.told is None for s in self.streams.values()))
+            self.lease.stream_lost(now, self.freshness is not ListFreshness.FRESH)
+        self.lease.set_call_pending(any(s.first_message_at is None for s in self.streams.values()))
 
-    def look(self, now: float, why: str) -> list[Act]:
+    def look(self, now: float, why: str) -> list[FollowerAction]:
         """The sight of now; told once at each change."""
-        telling = [s for s in self.streams.values() if s.told is not None]
+        telling = [s for s in self.streams.values() if s.first_message_at is not None]
         if telling:
-            self.since = max(self.since, *(s.heard for s in telling))
+            self.confirmed_at = max(self.confirmed_at, *(s.last_received_at for s in telling))
             sight = (
                 ListFreshness.FRESH if any(now < self.doubt(s) for s in telling) else ListFreshness.DOUBTFUL
             )
@@ -222,8 +228,8 @@
             sight = ListFreshness.BLIND
         self.renew(now, bool(telling))
         if (last := self.last()) is not None and last.source == self.source and now < self.doubt(last):
-            self.again = None  # the one that was in doubt speaks again
-        if sight == self.sight:
+            self.next_open_at = None  # the one that was in doubt speaks again
+        if sight == self.freshness:
             return []
-        self.sight = sight
-        return [Seen(sight, self.since, why)]
+        self.freshness = sight
+        return [FreshnessChanged(sight, self.confirmed_at, why)]
--- a/myrtleroad/net/config_versions.py
+++ b/myrtleroad/net/config_versions.py
@@ -15,7 +15,7 @@
 from myrtleroad.config.entries import EMPTY, Delta, digest, patched
 from myrtleroad.config.ledger import Act, Answer, Apply, Check, Ledger, Name, Offer, Tell
 from myrtleroad.config.wire import Decoder, Frame, Spoilt, encode
-from myrtleroad.membership.asking import Asking, Manner
+from myrtleroad.membership.call_backoff import CallBackoff, FollowerSettings
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.log import Log
 from myrtleroad.net.node_config import DECODE_ERRORS, Address, AddressChanged, NodeConfig
@@ -69,8 +69,10 @@
         self.ledger = Ledger()
         self.contents = {self.ledger.force.name: EMPTY}  # of the one in force and the last good one
         self.found = version.Version()  # the one that is being applied
-        manner = Manner(told.facts.balancers, told.facts.server_rules.drain_grace_ms, HEARTBEAT_S * 1000)
-        self.asking = Asking(manner, Random(told.seed + 2).random)
+        manner = FollowerSettings(
+            told.facts.balancers, told.facts.server_rules.drain_grace_ms, HEARTBEAT_S * 1000
+        )
+        self.asking = CallBackoff(manner, Random(told.seed + 2).random)
         self.stream = 0  # the newest, of the address that holds now
         self.socks: dict[int, socket.socket] = {}  # of the newest, and of one that a move has left behind
         self.opened: dict[int, float] = {}  # since when each stands; both emptied as each ends
@@ -112,7 +114,7 @@
         self.counters.add("versions_lost")
         self.log("versions lost", level="warning", why=why)
         if stream == self.stream:
-            gevent.spawn_later(self.asking.pause(stood) / 1000, self.again, stream)
+            gevent.spawn_later(self.asking.next_pause_ms(stood) / 1000, self.again, stream)
 
     def again(self, stream: int) -> None:
         if stream == self.stream:  # no move has begun another meanwhile
--- a/myrtleroad/net/discovery.py
+++ b/myrtleroad/net/discovery.py
@@ -8,10 +8,10 @@
 from gevent import socket
 
 from myrtleroad import interface as i
-from myrtleroad.membership.asking import Asking, Manner, Service
-from myrtleroad.membership.book import Book, Change, Rank, Said
-from myrtleroad.membership.following import Seen
-from myrtleroad.membership.lease import ListLease, Terms
+from myrtleroad.membership.call_backoff import CallBackoff, FollowerSettings, ServiceKind
+from myrtleroad.membership.lease import LeaseTerms, ListLease
+from myrtleroad.membership.server_list import ListChange, ListMessage, Restriction, ServerList
+from myrtleroad.membership.stream_follower import FreshnessChanged
 from myrtleroad.net import http1
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.json_stream import JsonObjectReader
@@ -31,25 +31,25 @@
 FETCH_TIMEOUT_S = 2.5  # for a whole list asked for by itself: a service in a queue takes as long
 LIST_KEY = b'"generation"'  # a key of every list and of no entry
 RANKS = {
-    i.ServerStatus.IN_SERVICE: Rank.OPEN,
-    i.ServerStatus.DRAINING: Rank.CLOSING,
-    i.ServerStatus.GONE: Rank.AWAY,
+    i.ServerStatus.IN_SERVICE: Restriction.NONE,
+    i.ServerStatus.DRAINING: Restriction.DRAINING,
+    i.ServerStatus.GONE: Restriction.GONE,
 }
 
 
-def follower_settings(told: NodeConfig, sign_ms: float) -> Manner:
+def follower_settings(told: NodeConfig, sign_ms: float) -> FollowerSettings:
     rules = told.facts.server_rules
     most = rules.max_poll_interval_ms or float("inf")
-    return Manner(told.facts.balancers, rules.drain_grace_ms, sign_ms, most)
+    return FollowerSettings(told.facts.balancers, rules.drain_grace_ms, sign_ms, most)
 
 
-def list_follower_settings(told: NodeConfig) -> Manner:
+def list_follower_settings(told: NodeConfig) -> FollowerSettings:
     """Discovery is one service for all fronts where it is asked, an agent of each front's own else."""
-    service = Service.SHARED if told.facts.list_on_request else Service.OWN
-    return replace(follower_settings(told, HEARTBEAT_MS), service=service)
+    service = ServiceKind.SHARED if told.facts.list_on_request else ServiceKind.OWN
+    return replace(follower_settings(told, HEARTBEAT_MS), service_kind=service)
 
 
-def server_rank(e: ListedServer) -> Rank:
+def server_rank(e: ListedServer) -> Restriction:
     return RANKS[e.row.status]
 
 
@@ -62,7 +62,7 @@
 
     __slots__ = ("said", "why")
 
-    def __init__(self, said: Said[ListedServer] | None, why: str = ""):
+    def __init__(self, said: ListMessage[ListedServer] | None, why: str = ""):
         self.said, self.why = said, why
 
 
@@ -71,13 +71,13 @@
     NAME, ENDED = "list", "watches_ended"
 
     def __init__(self, told: NodeConfig, counters: Counters, log: Log, post: FollowerContext):
-        self.lease = ListLease(Terms.of(told.facts))
+        self.lease = ListLease(LeaseTerms.from_settings(told.facts))
         super().__init__(told.discovery, list_follower_settings(told), told, counters, log, post)
         self.following.lease = self.lease
         self.words = (told.zones, told.kinds)
-        self.book: Book[ListedServer] = Book(server_rank, same_start)
-        self.book.remember(told.known.version, {e.word: e for e in told.known.entries})
-        self.pacing = Asking(list_follower_settings(told), Random(told.seed + 1).random)
+        self.book: ServerList[ListedServer] = ServerList(server_rank, same_start)
+        self.book.load_initial(told.known.version, {e.word: e for e in told.known.entries})
+        self.pacing = CallBackoff(list_follower_settings(told), Random(told.seed + 1).random)
         self.sources: dict[int, int] = {}  # of each stream that is held; emptied as each ends
         self.objects: dict[
             int, JsonObjectReader
@@ -88,19 +88,19 @@
         self.sources[number] = self.following.source
         return Stream(number, f"/api/targets?watch=1&after={self.book.version}", self)
 
-    def said(self, text: bytes, source: int) -> Said[ListedServer]:
+    def said(self, text: bytes, source: int) -> ListMessage[ListedServer]:
         """A list in discovery's form. Raises where nothing of it can be read."""
         m = json_object(text)
         read, unclear = listed_servers(m["instances"], *self.words)
-        return Said(source, non_negative_int(m["generation"]), bool(m["reset"]), read, unclear)
+        return ListMessage(source, non_negative_int(m["generation"]), bool(m["reset"]), read, unclear)
 
     def line(self, stream: Stream, text: bytes) -> None:
         whole = self.objects.setdefault(stream.number, JsonObjectReader(LIST_KEY)).take(text)
         if whole is None:
             return
         said = self.said(whole, self.sources[stream.number])
-        watched = stream.told and self.following.sight is i.ListFreshness.FRESH
-        change = self.book.take(said, self.following.sole(stream.number))
+        watched = stream.told and self.following.freshness is i.ListFreshness.FRESH
+        change = self.book.apply_message(said, self.following.is_sole_source(stream.number))
         if said.source == self.book.source:
             self.told(stream, version=said.version, entries=len(said.entries))
         self.apply(change, watched)
@@ -110,33 +110,33 @@
         self.objects.pop(stream.number, None)
         if source in self.sources.values():
             return
-        change = self.book.left(source)
+        change = self.book.source_ended(source)
         self.apply(change)
         if change is not None:  # what stood behind it holds now
             for number in [n for n, x in self.sources.items() if x == self.book.source]:
-                self.carry(self.following.told(number, self.clock()))
+                self.carry(self.following.message_received(number, self.clock()))
 
-    def seen(self, act: Seen) -> None:
+    def seen(self, act: FreshnessChanged) -> None:
         super().seen(act)
-        self.deliver(i.ListFreshnessChanged(act.sight, act.since))
+        self.deliver(i.ListFreshnessChanged(act.freshness, act.confirmed_at))
 
-    def apply(self, change: Change[ListedServer] | None, watched: bool = False) -> None:
+    def apply(self, change: ListChange[ListedServer] | None, watched: bool = False) -> None:
         """What a list changes goes to the module; a whole list is asked for where one is wanted."""
         if change is None:
             return
         rows = list(change.entries.values())
-        for word in change.shut:
+        for word in change.blocked:
             # Guards against sending on to a machine of which something was said that we cannot read.
-            rows.append(self.book.known[word].draining())
+            rows.append(self.book.entries[word].draining())
         if change.whole or rows:
             kind = i.ListKind.WHOLE if change.whole else i.ListKind.CHANGES
             self.deliver(ServerListing(self.book.version, kind, rows, watched and not change.whole))
             by_status = Counter(e.row.status.name.lower() for e in rows)
             self.log("list applied", version=self.book.version, whole=change.whole, **by_status)
-        if change.ask and not self.fetching:
+        if change.refetch_reason and not self.fetching:
             self.fetching = True
-            pause = self.pacing.pause(None)
-            self.log("list whole asked", why=change.ask, in_ms=round(pause, 1))
+            pause = self.pacing.next_pause_ms(None)
+            self.log("list whole asked", why=change.refetch_reason, in_ms=round(pause, 1))
             source = self.following.source
             gevent.spawn_later(pause / 1000, lambda: self.post(self.fetch(source)))
 
@@ -168,8 +168,8 @@
         self.fetching = False
         if message.said is None:
             self.log("list whole missed", why=message.why)
-            return self.apply(Change(False, {}, ask=message.why))
-        change = self.book.fetched(message.said)
-        if change is not None and not change.ask:
+            return self.apply(ListChange(False, {}, refetch_reason=message.why))
+        change = self.book.apply_fetched(message.said)
+        if change is not None and not change.refetch_reason:
             self.pacing.failures = 0
         return self.apply(change)
--- a/myrtleroad/net/dispatcher.py
+++ b/myrtleroad/net/dispatcher.py
@@ -417,7 +417,7 @@
         for entry in listing.entries:
             known = self.places.get(self.index.get(entry.word, -1))
             if known is None or known[1] != entry.row.started_at:
-                self.balancer.start_clock.told(entry.row.started_at, now, listing.watched)
+                self.balancer.start_clock.observe(entry.row.started_at, now, listing.watched)
 
     def listed(self, listing: ServerListing, now: float) -> None:
         """The list reaches the module and the machines' actors before any send that follows it."""
--- a/myrtleroad/net/front.py
+++ b/myrtleroad/net/front.py
@@ -42,7 +42,7 @@
         post = FollowerContext(self.clock, tell, self.brain.lookout)
         self.roster = DiscoveryClient(told, self.counters, self.log, post)
         self.bulletin = StageUpdates(told, self.counters, self.log, post)
-        self.brain.list_age = self.roster.following.age
+        self.brain.list_age = self.roster.following.age_ms
         self.brain.balancer.lease = self.roster.lease
         self.started_at = self.clock()
         self.desk = VoteCaster(told, self.counters, self.log, tell)
@@ -64,7 +64,7 @@
         """Once the list is in the module, or could not be had for a while, and so the platform's news."""
         if self.stop.is_set() or not self.bulletin.answered:
             return False
-        if not self.was_ready and not self.roster.lease.may_begin(self.clock(), self.started_at):
+        if not self.was_ready and not self.roster.lease.may_start(self.clock(), self.started_at):
             return False
         if not self.was_ready:
             self.was_ready = True
--- a/myrtleroad/net/operator_limits.py
+++ b/myrtleroad/net/operator_limits.py
@@ -52,7 +52,7 @@
         zones = frozenset(self.told.zones[z] for z in held.zones_aside)
         changed = (held.machines_aside, zones) != self.brain.aside
         listing = ServerListing(
-            self.roster.book.version, i.ListKind.CHANGES, list(self.roster.book.known.values())
+            self.roster.book.version, i.ListKind.CHANGES, list(self.roster.book.entries.values())
         )
         # From here on nothing can fail.
         self.log.level = held.log_level
--- a/myrtleroad/net/stream.py
+++ b/myrtleroad/net/stream.py
@@ -11,8 +11,14 @@
 from gevent.event import Event
 from gevent.queue import SimpleQueue
 
-from myrtleroad.membership.asking import Manner
-from myrtleroad.membership.following import Act, Close, Following, Open, Seen
+from myrtleroad.membership.call_backoff import FollowerSettings
+from myrtleroad.membership.stream_follower import (
+    CloseStream,
+    FollowerAction,
+    FreshnessChanged,
+    OpenStream,
+    StreamFollower,
+)
 from myrtleroad.net import http1
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.log import Log
@@ -146,15 +152,15 @@
 
 
 class FollowerActor:
-    """An actor that follows one peer's stream as ``membership.Following`` says: it opens and closes streams,
-    posts their words and the passing of time to it, and passes on what they say."""
+    """An actor that follows one peer's stream as ``membership.StreamFollower`` says: it opens and closes
+    streams, posts their words and the passing of time to it, and passes on what they say."""
 
     NAME, ENDED = "", ""  # for log and counters
 
     def __init__(
         self,
         at: Address,
-        manner: Manner,
+        manner: FollowerSettings,
         told: NodeConfig,
         counters: Counters,
         log: Log,
@@ -162,7 +168,7 @@
     ):
         self.at, self.counters, self.log = at, counters, log
         self.clock, self.deliver, self.lookout = post
-        self.following = Following(manner, Random(told.seed).random, self.clock())
+        self.following = StreamFollower(manner, Random(told.seed).random, self.clock())
         self.lookout.settle.append(self.settle)
         self.mailbox: SimpleQueue = SimpleQueue()
         self.wake = Event()  # set when something was posted or taken: what is due may have changed
@@ -170,7 +176,7 @@
         self.answered = False  # whether the first stream has told something or failed
 
     def run(self) -> None:
-        self.carry(self.following.want(self.clock()))
+        self.carry(self.following.start(self.clock()))
         while True:
             wait = max(0.0, self.following.due() - self.clock()) / 1000
             self.wake.wait(min(wait, MAX_WAIT_S))
@@ -199,10 +205,10 @@
             case AddressChanged(at):
                 if at != self.at:
                     self.at = at
-                    self.carry(self.following.moved(now))
+                    self.carry(self.following.address_changed(now))
             case LineReceived(stream, text):
                 if self.streams.get(stream.number) is stream:
-                    self.carry(self.following.heard(stream.number, now))
+                    self.carry(self.following.bytes_received(stream.number, now))
                     self.read(stream, text)
             case StreamEnded(stream, why, reached):
                 if self.streams.pop(stream.number, None) is stream:
@@ -228,7 +234,7 @@
 
     def over(self, stream: Stream, why: str, reached: bool = True) -> None:
         self.lost(stream, why)
-        self.carry(self.following.ended(stream.number, self.clock(), why, reached))
+        self.carry(self.following.stream_ended(stream.number, self.clock(), why, reached))
         self.parted(stream)
 
     def told(self, stream: Stream, **what: object) -> None:
@@ -238,27 +244,27 @@
             after = round(self.clock() - stream.asked_at, 1)
             at = http1.host_header(stream.at)
             self.log(f"{self.NAME} read", at=at, stream=stream.number, after_ms=after, **what)
-        self.carry(self.following.told(stream.number, self.clock()))
+        self.carry(self.following.message_received(stream.number, self.clock()))
 
-    def carry(self, acts: list[Act]) -> None:
+    def carry(self, acts: list[FollowerAction]) -> None:
         for act in acts:
             match act:
-                case Open(number):
+                case OpenStream(number):
                     self.counters.add(f"{self.NAME}_asked")
                     stream = self.streams[number] = self.open(number)
                     self.log(f"{self.NAME} asked", stream=number, target=stream.target)
-                case Close(number, why):
+                case CloseStream(number, why):
                     if stream := self.streams.pop(number, None):
                         stream.close()
                         if why == "silent":
                             self.lost(stream, why)
                         self.parted(stream)
-                case Seen():
+                case FreshnessChanged():
                     self.seen(act)
 
-    def seen(self, act: Seen) -> None:
-        age = round(self.clock() - act.since, 1)
-        self.log(f"{self.NAME} sight", sight=act.sight.name, age_ms=age, why=act.why)
+    def seen(self, act: FreshnessChanged) -> None:
+        age = round(self.clock() - act.confirmed_at, 1)
+        self.log(f"{self.NAME} sight", sight=act.freshness.name, age_ms=age, why=act.why)
 
     def open(self, number: int) -> Stream:
         raise NotImplementedError
--- a/myrtleroad/policy/balancer.py
+++ b/myrtleroad/policy/balancer.py
@@ -14,7 +14,7 @@
 from myrtleroad import interface as i
 from myrtleroad.interface import Outcome, RetrySafety, RolloutPhase, ServerStatus, Verdict
 from myrtleroad.membership.lease import ListLease
-from myrtleroad.membership.startclock import StartClock
+from myrtleroad.membership.start_clock import StartClock
 from myrtleroad.policy.state import Attempt, Past, Server
 from myrtleroad.policy.trial import TrialTest
 
@@ -84,7 +84,7 @@
         self.sides = {x: [m for m in live if self.on_trial(m.row.build) == x] for x in (False, True)}
         starts = [m.row.started_at for m in self.machines.values() if m.row.build == self.news.build]
         newest = max(starts, default=0.0)
-        self.newest = newest - self.start_clock.offset() if newest > 0 else 0.0
+        self.newest = newest - self.start_clock.offset_ms() if newest > 0 else 0.0
         self.steps = {x: list(accumulate(self.size(m) for m in side)) for x, side in self.sides.items()}
         self.young = {x: [m for m in side if m.row.started_at > 0] for x, side in self.sides.items()}
         self.mean_size = sum(map(self.size, live)) / max(1, len(live))
@@ -169,7 +169,7 @@
         return actions
 
     def note_lease(self, now: float) -> list[i.Action]:
-        holds = self.lease is None or self.lease.holds(now)
+        holds = self.lease is None or self.lease.is_valid(now)
         if holds == self.lease_held:
             return []
         self.lease_held = holds
@@ -218,7 +218,7 @@
 
     def age(self, m: Server, now: float) -> float:
         """How long ago a machine started; inf for long ago."""
-        return now + self.start_clock.offset() - m.row.started_at if m.row.started_at > 0 else float("inf")
+        return now + self.start_clock.offset_ms() - m.row.started_at if m.row.started_at > 0 else float("inf")
 
     def cold_room(self, m: Server, cost: float, now: float) -> bool:
         """Guards a cold machine: our share of multiple x (low) capacity x window, in whole tries by luck."""
@@ -271,7 +271,7 @@
                 self.answered.add(gone.key)
             seen = ended.duration_ms / self.usual[r] / gone.met * self.usual_met
             m.took = max(m.took, gone.sent)
-            if self.lease is not None and self.lease.covers(ended.connected_at):
+            if self.lease is not None and self.lease.covers_connection(ended.connected_at):
                 m.served_at = max(m.served_at, gone.sent)
             m.known += 1  # one heavy req says little of a machine that completes many
             m.pace += max(0.03, 1 / (m.known + 9)) * (min(seen, 4.0) - m.pace)
@@ -283,7 +283,7 @@
         refused = ended.outcome == Outcome.NOT_CONNECTED
         self.squeeze += 0.05 * (refused - self.squeeze)
         m.linked = m.linked if refused else now
-        if ended.outcome == Outcome.FULL and self.lease is not None and not self.lease.is_followed:
+        if ended.outcome == Outcome.FULL and self.lease is not None and not self.lease.has_stream:
             m.ejected_until = now + 2000  # it may drain, and nobody tells us
             m.served_at = -1e9
         failed = ended.outcome in (Outcome.ERRORED, Outcome.FULL, Outcome.RESET, Outcome.TIMEOUT)
@@ -365,7 +365,7 @@
         """Whether a machine may be sent something new, by the list and by how old it is."""
         if m.row.status != ServerStatus.IN_SERVICE:
             return False
-        return self.lease is None or self.lease.allows(now, m.served_at)
+        return self.lease is None or self.lease.allows_sending(now, m.served_at)
 
     def pick(self, rq: i.Request, now: float, past: Past) -> Server | None:
         """The machine for the next try: the build on trial while under 0.8 of its cap, else the earlier."""
--- a/tests/test_lists_first.py
+++ b/tests/test_lists_first.py
@@ -219,7 +219,9 @@
     h = held()
     h.warm(20)
     h.rows.append(listed("s-2", h.second.at))
-    gevent.sleep(1.1 - (h.front.clock() - h.front.roster.following.streams[0].told) / 1000)  # it stood
+    gevent.sleep(
+        1.1 - (h.front.clock() - h.front.roster.following.streams[0].first_message_at) / 1000
+    )  # it stood
     sock, text = h.discovery.conns.pop(), h.listing(9, {"lifecycle": "terminating"}, {})
     sock.send(text if line == "whole" else text[:90])
     reset(sock)
@@ -230,14 +232,14 @@
     gevent.sleep(0.02)
     h.ask()
     met, _ = h.answered()
-    assert met[0] == 0 and met[1] > 0 and h.front.roster.following.sight == i.ListFreshness.FRESH
+    assert met[0] == 0 and met[1] > 0 and h.front.roster.following.freshness == i.ListFreshness.FRESH
 
 
 def test_a_loop_held_for_300_ms_takes_no_silence_for_the_other_sides(held):
     h = held()
     h.warm(CROWD)
     h.rows.append(listed("s-2", h.second.at))
-    h.front.roster.following.streams[0].heard -= 4400.0  # almost two signs ago
+    h.front.roster.following.streams[0].last_received_at -= 4400.0  # almost two signs ago
     h.discovery.conns[0].send(h.listing(9, {"lifecycle": "terminating"}, {}))
     h.ask()
     time.sleep(0.3)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,24 +8,26 @@
 from hypothesis import strategies as st
 
 from myrtleroad.interface import ListFreshness
-from myrtleroad.membership.asking import Asking, Manner, Service
-from myrtleroad.membership.book import Book, Rank, Said
-from myrtleroad.membership.following import Close, Following, Open, Seen
-from myrtleroad.membership.lease import ListLease, Terms
-from myrtleroad.membership.startclock import StartClock
-
-MANNER = Manner(fronts=3, grace_ms=250.0, sign_ms=2000.0, most_ms=10000.0)
+from myrtleroad.membership.call_backoff import CallBackoff, FollowerSettings, ServiceKind
+from myrtleroad.membership.lease import LeaseTerms, ListLease
+from myrtleroad.membership.server_list import ListMessage, Restriction, ServerList
+from myrtleroad.membership.start_clock import StartClock
+from myrtleroad.membership.stream_follower import CloseStream, FreshnessChanged, OpenStream, StreamFollower
+
+MANNER = FollowerSettings(
+    front_count=3, drain_grace_ms=250.0, heartbeat_interval_ms=2000.0, max_poll_interval_ms=10000.0
+)
 
 
 def following(chance=lambda: 0.5):
-    f = Following(MANNER, chance, 0.0)
-    assert f.want(0.0) == [Open(0)] and f.want(0.0) == []
+    f = StreamFollower(MANNER, chance, 0.0)
+    assert f.start(0.0) == [OpenStream(0)] and f.start(0.0) == []
     return f
 
 
 def fresh(now=10.0):
     f = following()
-    assert f.told(0, now) == [Seen(ListFreshness.FRESH, now, "told")]
+    assert f.message_received(0, now) == [FreshnessChanged(ListFreshness.FRESH, now, "told")]
     return f
 
 
@@ -34,29 +36,31 @@
 
 @pytest.mark.parametrize("fronts", [1, 3, 20, 200, 1000])
 def test_after_a_stream_that_stood_the_window_is_never_spent_on_waiting(fronts):
-    a = Asking(Manner(fronts, 250.0, 2000.0), lambda: 0.999)
-    assert a.pause(5000.0) <= 250.0 / 4
+    a = CallBackoff(FollowerSettings(fronts, 250.0, 2000.0), lambda: 0.999)
+    assert a.next_pause_ms(5000.0) <= 250.0 / 4
 
 
 @pytest.mark.parametrize("fronts", [1, 20, 200])
 def test_while_a_service_fails_all_fronts_together_do_not_press_on_it(fronts):
     random, asks = Random(5).random, 0
     for _ in range(fronts):
-        a, at = Asking(Manner(fronts, 250.0, 2000.0, 60000.0), random), 0.0
-        while (at := at + a.pause(None)) < 60000.0:
+        a, at = CallBackoff(FollowerSettings(fronts, 250.0, 2000.0, 60000.0), random), 0.0
+        while (at := at + a.next_pause_ms(None)) < 60000.0:
             asks += at > 20000.0
-    assert asks / 40 < 1.3 * a.PRESS_PER_S
+    assert asks / 40 < 1.3 * a.MAX_CALLS_PER_S
 
 
 def test_a_stream_that_tells_and_drops_at_once_counts_as_one_that_fails():
-    a = Asking(MANNER, lambda: 0.999)
-    assert [round(a.pause(1.0)) for _ in range(4)] == [125, 250, 500, 500] and a.pause(2000.0) < 10.0
+    a = CallBackoff(MANNER, lambda: 0.999)
+    assert [round(a.next_pause_ms(1.0)) for _ in range(4)] == [125, 250, 500, 500] and a.next_pause_ms(
+        2000.0
+    ) < 10.0
     assert a.failures == 0
 
 
 def test_a_long_failure_never_pauses_for_longer_than_the_settings_let_a_front_not_ask():
-    a = Asking(Manner(1000, 250.0, 2000.0, 3000.0), lambda: 0.999)
-    assert max(a.pause(None) for _ in range(50)) <= 3000.0
+    a = CallBackoff(FollowerSettings(1000, 250.0, 2000.0, 3000.0), lambda: 0.999)
+    assert max(a.next_pause_ms(None) for _ in range(50)) <= 3000.0
 
 
 # --- streams ---
@@ -64,66 +68,75 @@
 
 def test_a_reset_is_asked_again_at_once_and_a_move_meanwhile_does_not_wait():
     f = fresh()
-    assert f.ended(0, 5000.0, "reset") == [Seen(ListFreshness.BLIND, 10.0, "reset")]
+    assert f.stream_ended(0, 5000.0, "reset") == [FreshnessChanged(ListFreshness.BLIND, 10.0, "reset")]
     assert 5000.0 <= f.due() <= 5010.0
-    assert f.moved(5000.5) == [Open(1)] and f.source == 1
+    assert f.address_changed(5000.5) == [OpenStream(1)] and f.source == 1
     assert f.tick(5004.0) == []  # the pause that the reset began is void
-    assert f.told(1, 5006.0) == [Seen(ListFreshness.FRESH, 5006.0, "told")]
+    assert f.message_received(1, 5006.0) == [FreshnessChanged(ListFreshness.FRESH, 5006.0, "told")]
 
 
 def test_a_service_that_refuses_for_two_seconds_is_asked_some_times_and_then_had():
     f, now, asks = fresh(), 5000.0, 0
-    f.ended(0, now, "reset")
+    f.stream_ended(0, now, "reset")
     while now < 7000.0:
         now = f.due()
         for act in f.tick(now):
-            if isinstance(act, Open):
+            if isinstance(act, OpenStream):
                 asks += 1
-                f.ended(act.stream, now, "refused")
+                f.stream_ended(act.stream, now, "refused")
     assert 5 <= asks <= 20 and f.due() - now <= 500.0
 
 
 def test_a_silent_stream_gets_another_beside_it_and_both_are_read():
     f = fresh()
     assert f.due() == 10.0 + 1.3 * 2000.0
-    assert f.tick(f.due()) == [Seen(ListFreshness.DOUBTFUL, 10.0, "silent"), Open(1)]
+    assert f.tick(f.due()) == [FreshnessChanged(ListFreshness.DOUBTFUL, 10.0, "silent"), OpenStream(1)]
     assert f.tick(f.due() - 1) == []
-    assert f.told(1, 2700.0) == [Close(0, "another one tells"), Seen(ListFreshness.FRESH, 2700.0, "told")]
+    assert f.message_received(1, 2700.0) == [
+        CloseStream(0, "another one tells"),
+        FreshnessChanged(ListFreshness.FRESH, 2700.0, "told"),
+    ]
 
 
 def test_one_beside_that_fails_is_paced_and_the_old_may_speak_again():
     f = fresh()
     f.tick(f.due())
-    assert f.ended(1, 2650.0, "refused") == [] and f.again is not None and f.due() > 2650.0
-    assert f.heard(0, 2660.0) == [Seen(ListFreshness.FRESH, 2660.0, "heard again")] and f.again is None
+    assert f.stream_ended(1, 2650.0, "refused") == [] and f.next_open_at is not None and f.due() > 2650.0
+    assert (
+        f.bytes_received(0, 2660.0) == [FreshnessChanged(ListFreshness.FRESH, 2660.0, "heard again")]
+        and f.next_open_at is None
+    )
 
 
 def test_a_stream_silent_for_two_signs_is_given_up():
     f = fresh()
     f.tick(f.due())
-    f.ended(1, 2650.0, "refused")
+    f.stream_ended(1, 2650.0, "refused")
     acts = []
-    while not any(isinstance(a, Close) for a in acts):
+    while not any(isinstance(a, CloseStream) for a in acts):
         acts = f.tick(f.due())
         for act in acts:
-            if isinstance(act, Open):
-                f.ended(act.stream, f.due(), "refused")
-    assert acts[0] == Close(0, "silent") and f.sight == ListFreshness.BLIND and f.due() < 4600.0
+            if isinstance(act, OpenStream):
+                f.stream_ended(act.stream, f.due(), "refused")
+    assert acts[0] == CloseStream(0, "silent") and f.freshness == ListFreshness.BLIND and f.due() < 4600.0
 
 
 def test_one_that_connects_and_says_nothing_is_given_up_and_asked_again():
     f = following()
-    assert f.tick(f.due()) == [Close(0, "silent")] and f.due() < 3000.0
+    assert f.tick(f.due()) == [CloseStream(0, "silent")] and f.due() < 3000.0
 
 
 def test_a_left_source_is_read_until_the_new_one_tells_and_not_for_ever():
     f = fresh()
-    assert f.moved(1000.0) == [Open(1)]
-    assert f.moved(1100.0) == [Close(1, "left"), Open(2)]  # of a row of moves only what told is read
-    f.heard(0, 6000.0)
-    f.heard(2, 1200.0)  # it speaks, and what it tells is behind
-    f.heard(2, 6000.0)
-    assert Close(0, "silent") in f.tick(1100.0 + f.LEAVE_MS)
+    assert f.address_changed(1000.0) == [OpenStream(1)]
+    assert f.address_changed(1100.0) == [
+        CloseStream(1, "left"),
+        OpenStream(2),
+    ]  # of a row of moves only what told is read
+    f.bytes_received(0, 6000.0)
+    f.bytes_received(2, 1200.0)  # it speaks, and what it tells is behind
+    f.bytes_received(2, 6000.0)
+    assert CloseStream(0, "silent") in f.tick(1100.0 + f.OLD_SOURCE_READ_MS)
 
 
 def walk(f, now, depth, seen):
@@ -131,8 +144,10 @@
     check(f, now)
     if depth == 0:
         return
-    events = [("moved",), ("tick",), ("wait",)]
-    events += [(name, n) for n in f.streams for name in ("heard", "told", "ended")]
+    events = [("address_changed",), ("tick",), ("wait",)]
+    events += [
+        (name, n) for n in f.streams for name in ("bytes_received", "message_received", "stream_ended")
+    ]
     for event in events:
         g, at = copy.deepcopy(f), now + 1.0
         if event == ("tick",):
@@ -141,32 +156,32 @@
         elif event == ("wait",):
             at += 2700.0
             acts = g.tick(at)
-        elif event == ("moved",):
-            acts = g.moved(at)
-        elif event[0] == "ended":
-            acts = g.ended(event[1], at, "reset")
+        elif event == ("address_changed",):
+            acts = g.address_changed(at)
+        elif event[0] == "stream_ended":
+            acts = g.stream_ended(event[1], at, "reset")
         else:
             acts = getattr(g, event[0])(event[1], at)
         for act in acts:
-            if isinstance(act, Open):
+            if isinstance(act, OpenStream):
                 assert act.stream not in seen  # a number is never used twice
-            if isinstance(act, Close):
+            if isinstance(act, CloseStream):
                 assert act.stream not in g.streams
-        walk(g, at, depth - 1, seen | {a.stream for a in acts if isinstance(a, Open)})
+        walk(g, at, depth - 1, seen | {a.stream for a in acts if isinstance(a, OpenStream)})
 
 
 def check(f, now):
     mine = [s for s in f.streams.values() if s.source == f.source]
-    assert mine or f.again is not None, "nobody is asked and nobody will be"
+    assert mine or f.next_open_at is not None, "nobody is asked and nobody will be"
     assert len(f.streams) <= 4 and f.due() < float("inf")
-    telling = [s for s in f.streams.values() if s.told is not None]
-    assert (f.sight == ListFreshness.BLIND) == (not telling)
-    assert f.age(now) >= 0.0
+    telling = [s for s in f.streams.values() if s.first_message_at is not None]
+    assert (f.freshness == ListFreshness.BLIND) == (not telling)
+    assert f.age_ms(now) >= 0.0
 
 
 def test_no_order_of_events_leaves_a_follower_that_nobody_tells():
-    f = Following(MANNER, fixed, 0.0)
-    f.want(0.0)
+    f = StreamFollower(MANNER, fixed, 0.0)
+    f.start(0.0)
     walk(f, 0.0, 5, {0})
 
 
@@ -182,53 +197,55 @@
 
 
 def book(**known):
-    b = Book(lambda e: e[0], lambda a, b: a[1] == b[1])
-    b.remember(7, {w: entry(Rank.OPEN) for w in known})
+    b = ServerList(lambda e: e[0], lambda a, b: a[1] == b[1])
+    b.load_initial(7, {w: entry(Restriction.NONE) for w in known})
     return b
 
 
-OPEN, CLOSING, AWAY = entry(Rank.OPEN), entry(Rank.CLOSING), entry(Rank.AWAY)
+OPEN, CLOSING, AWAY = entry(Restriction.NONE), entry(Restriction.DRAINING), entry(Restriction.GONE)
 
 
 def test_an_older_list_of_another_source_may_close_and_never_open():
     b = book(a=1, b=1)
-    b.take(Said(0, 9, False, {"a": CLOSING}), True)
-    change = b.take(Said(1, 8, True, {"a": OPEN, "b": CLOSING, "c": OPEN}), False)
+    b.apply_message(ListMessage(0, 9, False, {"a": CLOSING}), True)
+    change = b.apply_message(ListMessage(1, 8, True, {"a": OPEN, "b": CLOSING, "c": OPEN}), False)
     assert change.entries == {"b": CLOSING} and not change.whole and b.version == 9
-    assert b.left(0).entries == {"a": OPEN, "b": CLOSING, "c": OPEN}  # alone, it has its word
-    assert b.source == 1 and b.left(0) is None
+    assert b.source_ended(0).entries == {"a": OPEN, "b": CLOSING, "c": OPEN}  # alone, it has its word
+    assert b.source == 1 and b.source_ended(0) is None
 
 
 def test_what_a_source_behind_tells_in_pieces_holds_together_once_it_stands_alone():
     b = book(a=1)
-    assert b.take(Said(1, 5, True, {"a": OPEN, "b": OPEN}), False) is None
-    assert b.take(Said(1, 6, False, {"b": AWAY, "c": OPEN}), False) is None
-    assert b.left(0).entries == {"a": OPEN, "c": OPEN}
+    assert b.apply_message(ListMessage(1, 5, True, {"a": OPEN, "b": OPEN}), False) is None
+    assert b.apply_message(ListMessage(1, 6, False, {"b": AWAY, "c": OPEN}), False) is None
+    assert b.source_ended(0).entries == {"a": OPEN, "c": OPEN}
 
 
 def test_numbers_that_go_back_without_a_whole_list_close_at_most_and_ask_for_one():
     b = book(a=1, b=1)
-    change = b.take(Said(0, 3, False, {"a": CLOSING, "c": OPEN}), True)
-    assert change.entries == {"a": CLOSING} and change.ask == "numbers went back" and b.version == 3
-    assert b.fetched(Said(0, 2, True, {})).ask  # made before the last change
-    assert b.fetched(Said(0, 3, True, {"c": OPEN})).entries == {"c": OPEN}
-    assert b.fetched(Said(1, 9, True, {})) is None  # of another source
+    change = b.apply_message(ListMessage(0, 3, False, {"a": CLOSING, "c": OPEN}), True)
+    assert (
+        change.entries == {"a": CLOSING} and change.refetch_reason == "numbers went back" and b.version == 3
+    )
+    assert b.apply_fetched(ListMessage(0, 2, True, {})).refetch_reason  # made before the last change
+    assert b.apply_fetched(ListMessage(0, 3, True, {"c": OPEN})).entries == {"c": OPEN}
+    assert b.apply_fetched(ListMessage(1, 9, True, {})) is None  # of another source
 
 
 def test_a_gap_is_seen_where_numbers_are_consecutive():
     b = book(a=1)
-    b.consecutive = True
-    assert not b.take(Said(0, 8, False, {}), True).ask
-    assert b.take(Said(0, 10, False, {"a": CLOSING}), True).ask == "a gap"
+    b.consecutive_versions = True
+    assert not b.apply_message(ListMessage(0, 8, False, {}), True).refetch_reason
+    assert b.apply_message(ListMessage(0, 10, False, {"a": CLOSING}), True).refetch_reason == "a gap"
 
 
 def test_an_unclear_entry_shuts_its_machine_until_a_list_says_more():
     b = book(a=1, b=1)
-    change = b.take(Said(0, 8, False, {}, ["a", None]), True)
-    assert change.shut == ["a"] and change.ask == "unclear entries"
-    whole = b.take(Said(0, 9, True, {"b": OPEN}, ["a"]), True)
-    assert set(whole.entries) == {"a", "b"} and whole.shut == ["a"]  # unread is not gone
-    assert b.take(Said(0, 10, False, {"a": OPEN}), True).shut == [] and not b.shut
+    change = b.apply_message(ListMessage(0, 8, False, {}, ["a", None]), True)
+    assert change.blocked == ["a"] and change.refetch_reason == "unclear entries"
+    whole = b.apply_message(ListMessage(0, 9, True, {"b": OPEN}, ["a"]), True)
+    assert set(whole.entries) == {"a", "b"} and whole.blocked == ["a"]  # unread is not gone
+    assert b.apply_message(ListMessage(0, 10, False, {"a": OPEN}), True).blocked == [] and not b.blocked
 
 
 class Fleet:
@@ -242,31 +259,31 @@
         for v, change in self.history:
             if v <= version:
                 state |= change
-        return {w: e for w, e in state.items() if e[0] != Rank.AWAY}
+        return {w: e for w, e in state.items() if e[0] != Restriction.GONE}
 
     def change(self, word):
         version, now = len(self.history) + 1, self.at(len(self.history))
         last = max((e[1] for _, c in self.history for w, e in c.items() if w == word), default=0)
-        after = {None: entry(Rank.OPEN, last + 1), Rank.OPEN: entry(Rank.CLOSING, last)}
+        after = {None: entry(Restriction.NONE, last + 1), Restriction.NONE: entry(Restriction.DRAINING, last)}
         state = now[word][0] if word in now else None
-        self.history.append((version, {word: after.get(state, entry(Rank.AWAY, last))}))
+        self.history.append((version, {word: after.get(state, entry(Restriction.GONE, last))}))
 
     def said(self, source, after, upto, whole):
         if whole:
-            return Said(source, upto, True, self.at(upto))
+            return ListMessage(source, upto, True, self.at(upto))
         entries = {}
         for v, change in self.history:
             if after < v <= upto:
                 entries |= change
-        return Said(source, upto, False, entries)
+        return ListMessage(source, upto, False, entries)
 
 
 def apply(view, change):
     if change is None:
         return view
     view = dict(change.entries) if change.whole else view | change.entries
-    view |= {w: entry(Rank.CLOSING, view[w][1]) for w in change.shut if w in view}
-    return {w: e for w, e in view.items() if e[0] != Rank.AWAY}
+    view |= {w: entry(Restriction.DRAINING, view[w][1]) for w in change.blocked if w in view}
+    return {w: e for w, e in view.items() if e[0] != Restriction.GONE}
 
 
 STEPS = st.lists(
@@ -284,7 +301,7 @@
 @given(steps=STEPS)
 def test_two_sources_behind_each_other_never_open_what_was_closed_and_agree_at_the_end(steps):
     fleet, b = Fleet(), book()
-    view = apply({}, b.take(fleet.said(0, 0, 1, True), True))
+    view = apply({}, b.apply_message(fleet.said(0, 0, 1, True), True))
     b.version, told, old_stands = 1, {0: 1, 1: 0}, True
     shut: set[tuple[str, int]] = set()
     for what, word, whole, behind in steps:
@@ -295,7 +312,7 @@
         if what == "end":
             if old_stands:
                 old_stands = False
-                view = apply(view, b.left(0))
+                view = apply(view, b.source_ended(0))
                 shut = set()  # the one that is left has its word, and it may be behind
             continue
         source = 1 if what == "new" else 0
@@ -305,88 +322,96 @@
         whole = whole or told[source] == 0
         said = fleet.said(source, told[source], upto, whole)
         told[source] = upto
-        view = apply(view, b.take(said, source == 1 and not old_stands))
-        shut |= {(w, e[1]) for w, e in said.entries.items() if e[0] != Rank.OPEN and view.get(w, e) == e}
-        assert not any(e[0] == Rank.OPEN and (w, e[1]) in shut for w, e in view.items())
-    view = apply(view, b.left(0))
-    view = apply(view, b.take(fleet.said(1, told[1], len(fleet.history), told[1] == 0), True))
+        view = apply(view, b.apply_message(said, source == 1 and not old_stands))
+        shut |= {
+            (w, e[1]) for w, e in said.entries.items() if e[0] != Restriction.NONE and view.get(w, e) == e
+        }
+        assert not any(e[0] == Restriction.NONE and (w, e[1]) in shut for w, e in view.items())
+    view = apply(view, b.source_ended(0))
+    view = apply(view, b.apply_message(fleet.said(1, told[1], len(fleet.history), told[1] == 0), True))
     assert view == fleet.at(len(fleet.history))
 
 
 # --- a shared service that is full ---
 
-SHARED = Manner(200, 250.0, 2000.0, 10000.0, Service.SHARED)
+SHARED = FollowerSettings(200, 250.0, 2000.0, 10000.0, ServiceKind.SHARED)
 
 
 def test_a_storm_of_calls_on_a_full_service_falls_under_one_call_a_front_in_eight_seconds():
     random, asks, fronts = Random(5).random, 0, 200
     for _ in range(fronts):
-        a, at = Asking(SHARED, random), 0.0
-        while (at := at + a.pause(None) + 2000.0) < 100000.0:  # a call waits for two seconds and fails
+        a, at = CallBackoff(SHARED, random), 0.0
+        while (
+            at := at + a.next_pause_ms(None) + 2000.0
+        ) < 100000.0:  # a call waits for two seconds and fails
             asks += at > 20000.0
     assert asks / 80 <= fronts / 8
 
 
 def test_after_the_first_call_that_a_full_service_fails_half_a_wait_at_least_goes_by():
-    assert Asking(SHARED, lambda: 0.0).pause(None) == 1000.0
+    assert CallBackoff(SHARED, lambda: 0.0).next_pause_ms(None) == 1000.0
 
 
 def test_a_watch_broken_off_soon_or_a_connection_refused_is_no_sign_of_a_full_service():
-    a = Asking(SHARED, lambda: 0.999)
-    assert a.pause(10.0) < 550.0
-    a = Asking(SHARED, lambda: 0.999)
-    assert a.pause(None, reached=False) < 550.0
+    a = CallBackoff(SHARED, lambda: 0.999)
+    assert a.next_pause_ms(10.0) < 550.0
+    a = CallBackoff(SHARED, lambda: 0.999)
+    assert a.next_pause_ms(None, connected=False) < 550.0
 
 
 # --- the lease ---
 
-ASKED, PUSHED = Terms(6100.0, 6100.0, False), Terms(100.0, 6100.0, True)
+ASKED, PUSHED = LeaseTerms(6100.0, 6100.0, False), LeaseTerms(100.0, 6100.0, True)
 
 
 def test_a_watch_that_has_fallen_silent_is_believed_for_no_longer_than_its_changes_stay_untold():
     for terms in (ASKED, PUSHED):
         lease = ListLease(terms)
-        lease.followed(1000.0)
-        assert lease.holds(7099.0) and not lease.holds(7101.0)
+        lease.confirm(1000.0)
+        assert lease.is_valid(7099.0) and not lease.is_valid(7101.0)
 
 
 def test_connections_made_after_a_watch_fell_silent_are_not_covered():
     for was_silent, covered in ((True, False), (False, True)):
         lease = ListLease(ASKED)
-        lease.followed(1000.0)
-        lease.lost(4000.0, was_silent)
-        assert lease.covers(900.0) and lease.covers(3000.0) == covered and not lease.covers(4001.0)
+        lease.confirm(1000.0)
+        lease.stream_lost(4000.0, was_silent)
+        assert (
+            lease.covers_connection(900.0)
+            and lease.covers_connection(3000.0) == covered
+            and not lease.covers_connection(4001.0)
+        )
 
 
 def test_a_follower_tells_its_lease_what_stands_and_what_waits():
     f = following()
     f.lease = ListLease(PUSHED)
-    f.told(0, 10.0)
-    assert f.lease.is_followed and not f.lease.is_waiting and f.lease.confirmed_at == 10.0
-    f.ended(0, 900.0, "reset")
-    assert not f.lease.is_followed and f.lease.covered_until == 900.0
+    f.message_received(0, 10.0)
+    assert f.lease.has_stream and not f.lease.has_pending_call and f.lease.confirmed_at == 10.0
+    f.stream_ended(0, 900.0, "reset")
+    assert not f.lease.has_stream and f.lease.covered_until == 900.0
     f.tick(f.due())
-    assert f.lease.is_waiting and f.lease.holds(5000.0)
+    assert f.lease.has_pending_call and f.lease.is_valid(5000.0)
 
 
 def test_after_a_move_the_old_watch_is_believed_for_no_longer_than_four_seconds():
     f = following()
-    f.lease = ListLease(Terms(6100.0, 6100.0, False, 100.0))
-    f.told(0, 10.0)
-    f.moved(1000.0)
-    f.moved(3000.0)  # a second one does not put it off
-    f.told(0, 5000.0)  # the old address goes on telling
-    assert f.lease.holds(5099.0) and not f.lease.holds(5101.0)
-    assert f.lease.allows(5101.0, 5050.0) and not f.lease.allows(5101.0, 4900.0)
-    f.told(max(f.streams), 5200.0)
-    assert f.lease.holds(5200.0)
+    f.lease = ListLease(LeaseTerms(6100.0, 6100.0, False, 100.0))
+    f.message_received(0, 10.0)
+    f.address_changed(1000.0)
+    f.address_changed(3000.0)  # a second one does not put it off
+    f.message_received(0, 5000.0)  # the old address goes on telling
+    assert f.lease.is_valid(5099.0) and not f.lease.is_valid(5101.0)
+    assert f.lease.allows_sending(5101.0, 5050.0) and not f.lease.allows_sending(5101.0, 4900.0)
+    f.message_received(max(f.streams), 5200.0)
+    assert f.lease.is_valid(5200.0)
 
 
 def test_a_front_begins_with_a_list_or_after_a_while_without():
     lease = ListLease(ASKED)
-    assert not lease.may_begin(4999.0, 0.0) and lease.may_begin(5000.0, 0.0)
-    lease.followed(10.0)
-    assert lease.may_begin(10.0, 0.0)
+    assert not lease.may_start(4999.0, 0.0) and lease.may_start(5000.0, 0.0)
+    lease.confirm(10.0)
+    assert lease.may_start(10.0, 0.0)
 
 
 # --- starts, and a wall clock that is wrong ---
@@ -398,21 +423,21 @@
 def test_a_start_that_comes_on_a_watch_is_young_whatever_the_wall_clock_says(wrong):
     clock, started = StartClock(), 1e12
     told = started + 800.0 + wrong  # by the front's clock; news took 0.8 s
-    clock.told(started, told, watched=True)
-    age = told + 1000.0 + clock.offset() - started
+    clock.observe(started, told, watched=True)
+    age = told + 1000.0 + clock.offset_ms() - started
     assert 1000.0 <= age <= 1800.0
 
 
 def test_a_list_that_comes_late_once_does_not_make_older_starts_younger():
     clock = StartClock()
-    clock.told(1e12, 1e12 + 500.0, watched=True)
-    clock.told(1e12, 1e12 + 9000.0, watched=True)
-    assert clock.offset() == 0.0
+    clock.observe(1e12, 1e12 + 500.0, watched=True)
+    clock.observe(1e12, 1e12 + 9000.0, watched=True)
+    assert clock.offset_ms() == 0.0
 
 
 def test_starts_of_a_whole_list_say_only_that_the_clock_is_not_behind_them():
     clock = StartClock()
-    clock.told(1e12, 1e12 + HOUR_MS, watched=False)
-    assert clock.offset() == 0.0
-    clock.told(1e12, 1e12 - HOUR_MS, watched=False)
-    assert clock.offset() == HOUR_MS
+    clock.observe(1e12, 1e12 + HOUR_MS, watched=False)
+    assert clock.offset_ms() == 0.0
+    clock.observe(1e12, 1e12 - HOUR_MS, watched=False)
+    assert clock.offset_ms() == HOUR_MS
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -52,14 +52,14 @@
     follower.open = lambda number: Still(follower, number)
     if isinstance(follower, discovery.DiscoveryClient):
         follower.sources[0] = 0
-    follower.carry(follower.following.want(follower.clock()))
+    follower.carry(follower.following.start(follower.clock()))
     del follower.open
     return follower.streams[0]
 
 
 def moved(r, port):
     r.open = lambda number: Still(r, number)
-    r.sources[r.following.next] = r.following.source + 1
+    r.sources[r.following.next_stream] = r.following.source + 1
     r.take(node_config.AddressChanged(("127.0.0.1", port)))
     del r.open
     return r.streams[max(r.streams)]
@@ -244,7 +244,7 @@
         new = moved(r, port)
     assert new.at == ("127.0.0.1", 11) and r.streams[0] is old
     r.take(stream.StreamEnded(new, "refused", reached=False))
-    assert r.following.sight == i.ListFreshness.FRESH and r.following.due() < r.clock() + 500
+    assert r.following.freshness == i.ListFreshness.FRESH and r.following.due() < r.clock() + 500
 
 
 @pytest.mark.parametrize("cut", range(1, len(EVENT)))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 from conftest import build_facts, news, req, row
 
 from myrtleroad import interface as i
-from myrtleroad.membership.lease import ListLease, Terms
+from myrtleroad.membership.lease import LeaseTerms, ListLease
 from myrtleroad.policy.balancer import Balancer
 from myrtleroad.policy.state import Attempt
 
@@ -120,9 +120,9 @@
 def leased(balancer, followed_at=0.0, lost_at=500.0, pushed=False):
     """A lease of this balancer's list: followed until a moment, then nobody confirms it."""
     settings = replace(balancer.settings, list_on_request=not pushed)
-    balancer.lease = ListLease(Terms.of(settings))
-    balancer.lease.followed(followed_at)
-    balancer.lease.lost(lost_at, was_silent=False)
+    balancer.lease = ListLease(LeaseTerms.from_settings(settings))
+    balancer.lease.confirm(followed_at)
+    balancer.lease.stream_lost(lost_at, was_silent=False)
     return balancer.lease
 
 
@@ -143,7 +143,7 @@
     for m in balancer.machines.values():
         m.served_at = -1e9
     assert serve_one(balancer, told - 149.0) is None
-    lease.followed(told)
+    lease.confirm(told)
     assert serve_one(balancer, told) is not None
 
 
@@ -177,17 +177,17 @@
 
 
 def test_a_list_from_before_the_start_is_not_acted_on_until_one_is_read(balancer):
-    balancer.lease = ListLease(Terms.of(balancer.settings))
+    balancer.lease = ListLease(LeaseTerms.from_settings(balancer.settings))
     assert serve_one(balancer, 10.0) is None
-    balancer.lease.followed(20.0)
+    balancer.lease.confirm(20.0)
     assert serve_one(balancer, 20.0) is not None
 
 
 def test_where_lists_are_pushed_a_lost_watch_ends_the_lease_and_a_silent_agent_does_not(balancer):
     lease = leased(balancer, lost_at=500.0, pushed=True)
-    assert lease.holds(599.0) and not lease.holds(601.0)
-    lease.waits(True)  # an agent that leaves the call unanswered learns nothing either
-    assert lease.holds(9000.0)
+    assert lease.is_valid(599.0) and not lease.is_valid(601.0)
+    lease.set_call_pending(True)  # an agent that leaves the call unanswered learns nothing either
+    assert lease.is_valid(9000.0)
 
 
 def test_past_the_lease_what_is_refused_may_come_back_at_a_time_that_is_told(balancer):
