--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,8 +19,8 @@
 from random import Random
 
 from myrtleroad import interface as i
-from myrtleroad.life import Life
 from myrtleroad.policy.balancer import Balancer
+from myrtleroad.request_coroutine import RequestCoroutine
 
 DAYS = ("calm", "pause", "kill", "zone", "cut", "stale", "trial", "burst")
 GRACE, COLD_MS, COLD_SHARE, FALL_MS, FACTOR, IDLE_MS = 250.0, 3000.0, 0.36, 2000.0, 2.0, 15_000.0
@@ -284,12 +284,18 @@
         tenant = 0 if (u := self.chance.random()) < 0.4 else 1 if u < 0.7 else 2
         rq = i.Request(self.counts["taken"], route, tenant, None, self.now + r.timeout_ms, 0.0, False)
         f.taken.append(self.now)
-        life = Life(rq.id, f.balancer.serve(rq, self.now))
+        life = RequestCoroutine(rq.id, f.balancer.serve(rq, self.now))
         work = self.chance.lognormvariate(-0.2, 0.63) * WORK[route][0]
         self.step(f, f.balancer, rq, life, work, None)
 
     def step(
-        self, f: Front, b: Balancer, rq: i.Request, life: Life, work: float, ended: i.AttemptEnded | None
+        self,
+        f: Front,
+        b: Balancer,
+        rq: i.Request,
+        life: RequestCoroutine,
+        work: float,
+        ended: i.AttemptEnded | None,
     ):
         for act in life.resume(ended, self.now):
             match act:
@@ -300,7 +306,7 @@
                     self.counts["shed" if isinstance(act, i.Shed) else "errored"] += 1
                     if ended is None:
                         self.counts["shed_untried"] += 1
-                    life.end()
+                    life.close()
                     return
 
     def send(self, f, b, rq, life, work, n: Node, timeout: float) -> None:
@@ -346,8 +352,8 @@
         if n.out.pop(token, None) is None:
             return  # it was reset before
         if b is not f.balancer:
-            if not life.over:
-                life.end()
+            if not life.finished:
+                life.close()
                 self.counts["answered"] += 1  # owed to nobody: its front was killed
                 self.counts["lost_with_front"] += 1
             return
@@ -362,7 +368,7 @@
         b.observe(rq.id, ended, self.now)
         if not done:
             return self.step(f, b, rq, life, work, ended)
-        life.end()
+        life.close()
         r = ROUTES[rq.route]
         self.counts["answered"] += 1
         age = self.now - (rq.deadline - r.timeout_ms)
--- a/myrtleroad/answers/entry.py
+++ b/myrtleroad/admission/admission_control.py
@@ -11,7 +11,7 @@
 from enum import IntEnum
 
 
-class Word(IntEnum):
+class AdmissionDecision(IntEnum):
     """What becomes of a req at the door."""
 
     TAKE = 0
@@ -19,28 +19,33 @@
     STANDING = 2  # it waited in a queue that does not empty
 
 
-class Entry:
+class AdmissionControl:
     """``objectives``: latency objectives of the routes, in ms."""
 
     # Of the shortest objective: ten such waits fit in it, so that one alone makes few reqs late.
-    TARGET, LOWEST_MS = 0.1, 20.0  # the least, as a loop under load turns in some ms
-    INTERVAL = 2.0  # in targets: a wait that lasts so long is no burst of the arrivals that one target holds
+    TARGET_OBJECTIVE_SHARE, MIN_TARGET_MS = 0.1, 20.0  # the least, as a loop under load turns in some ms
+    INTERVAL_TARGETS = (
+        2.0  # in targets: a wait that lasts so long is no burst of the arrivals that one target holds
+    )
 
     def __init__(self, objectives: Iterable[float]):
-        self.target = max(self.LOWEST_MS, self.TARGET * min(objectives, default=0.0))
-        self.above_since: float | None = (
+        self.target_ms = max(self.MIN_TARGET_MS, self.TARGET_OBJECTIVE_SHARE * min(objectives, default=0.0))
+        self.above_target_since: float | None = (
             None  # when a wait over the target was first seen, none since under it
         )
 
-    def word(self, age: float, left: float, now: float) -> Word:
+    def decide(self, age: float, left: float, now: float) -> AdmissionDecision:
         """For a req read now: ``age`` is how long it has waited unread, ``left`` what its client still waits,
         both in ms. Called for every req, in the order of reading."""
-        if age <= self.target:
-            self.above_since = None
-        elif self.above_since is None:
-            self.above_since = now
+        if age <= self.target_ms:
+            self.above_target_since = None
+        elif self.above_target_since is None:
+            self.above_target_since = now
         if left <= 0:
-            return Word.OVER
-        if self.above_since is not None and now - self.above_since >= self.INTERVAL * self.target:
-            return Word.STANDING
-        return Word.TAKE
+            return AdmissionDecision.OVER
+        if (
+            self.above_target_since is not None
+            and now - self.above_target_since >= self.INTERVAL_TARGETS * self.target_ms
+        ):
+            return AdmissionDecision.STANDING
+        return AdmissionDecision.TAKE
--- a/myrtleroad/drill/__main__.py
+++ b/myrtleroad/drill/__main__.py
@@ -21,7 +21,7 @@
         elif head is None:
             raise codec.WireFault(f"{cmd!r} outside a batch")
         elif cmd == "EOB":
-            reply = fleet.batch(codec.ms(head["t"]), events)
+            reply = fleet.batch(codec.ns_to_ms(head["t"]), events)
             reply.append({"cmd": "EOR", "seq": head["seq"]})
             sink.write("".join(codec.dump(m) + "\n" for m in reply))
             sink.flush()
--- a/myrtleroad/drill/codec.py
+++ b/myrtleroad/drill/codec.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from myrtleroad import interface as i
-from myrtleroad.facts import LOAD, NS_PER_MS, ms
+from myrtleroad.settings import LOAD_COLUMN, NS_PER_MS, ns_to_ms
 
 STATUSES = {
     "in_service": i.ServerStatus.IN_SERVICE,
@@ -50,12 +50,12 @@
         cell=e.get("stripe", 0),
         server_type=e.get("hw", 0),
         weight=float(e.get("nominal", 1.0)),
-        started_at=ms(e.get("boot_time")),
+        started_at=ns_to_ms(e.get("boot_time")),
     )
 
 
 def load(m: dict[str, Any]) -> float | None:
-    return (m.get("usage") or {}).get(LOAD)
+    return (m.get("usage") or {}).get(LOAD_COLUMN)
 
 
 def req(m: dict[str, Any], now: float) -> i.Request:
@@ -64,14 +64,14 @@
         route=m.get("service", 0),
         tenant=m.get("client_group"),
         dedup_key=m.get("affinity"),
-        deadline=now + ms(m.get("grace")),
-        cost_hint_ms=ms(m.get("hint")),
+        deadline=now + ns_to_ms(m.get("grace")),
+        cost_hint_ms=ns_to_ms(m.get("hint")),
         is_repeat=bool(m.get("resent")),
     )
 
 
 def ended(m: dict[str, Any], machine: int) -> i.AttemptEnded:
-    how, took = i.Outcome(m["how"]), ms(m.get("cost_time"))
+    how, took = i.Outcome(m["how"]), ns_to_ms(m.get("cost_time"))
     return i.AttemptEnded(machine, m.get("seq_no", 0), how, took, load(m), bool(m.get("finished")))
 
 
@@ -83,7 +83,7 @@
         stage=m.get("wave", 0),
         phase=i.RolloutPhase(m.get("where_at", 0)),
         cap=float(m.get("ceiling", 0.0)),
-        stage_age_ms=ms(m.get("old")),
+        stage_age_ms=ns_to_ms(m.get("old")),
     )
 
 
@@ -93,17 +93,17 @@
         m.get("service", 0),
         m.get("n", 0),
         m.get("errors", 0),
-        ms(m.get("cost_time")),
-        ms(m.get("old")),
+        ns_to_ms(m.get("cost_time")),
+        ns_to_ms(m.get("old")),
     )
 
 
 def flagged(m: dict[str, Any], machine: int) -> i.BadResponseReported:
-    return i.BadResponseReported(machine, m.get("service", 0), ms(m.get("old")))
+    return i.BadResponseReported(machine, m.get("service", 0), ns_to_ms(m.get("old")))
 
 
 def probed(m: dict[str, Any], machine: int) -> i.ProbeEnded:
-    return i.ProbeEnded(machine, i.Outcome(m["how"]), ms(m.get("cost_time")), load(m))
+    return i.ProbeEnded(machine, i.Outcome(m["how"]), ns_to_ms(m.get("cost_time")), load(m))
 
 
 def fault(instance: int, event: str, error: BaseException) -> dict[str, Any]:
--- a/myrtleroad/drill/host.py
+++ b/myrtleroad/drill/host.py
@@ -6,10 +6,10 @@
 
 from myrtleroad import interface as i
 from myrtleroad.drill import codec
-from myrtleroad.facts import facts
-from myrtleroad.life import Life
 from myrtleroad.membership.call_backoff import CallBackoff, FollowerSettings, ServiceKind
 from myrtleroad.policy.balancer import Balancer
+from myrtleroad.request_coroutine import RequestCoroutine
+from myrtleroad.settings import decode_settings
 
 WAKE, ASK = 0, 1  # the cookies of the module's wake-up and of asking for the list; those above are of reqs
 SIGN_MS = 2000.0  # no signs of life come on this wire; the real one's interval
@@ -20,7 +20,7 @@
 
     def __init__(self, number: int, settings: dict[str, Any], seed: int, now: float):
         self.number = number
-        known = facts(settings)
+        known = decode_settings(settings)
         self.balancer = Balancer(known, seed, now)
         rules = known.server_rules
         most_ms, service = (
@@ -32,8 +32,8 @@
         self.told: float | None = None  # when the list was first told since the last failure
         self.index: dict[str, int] = {}  # machine words; grows with the fleet, never with reqs
         self.words: list[str] = []
-        self.held: dict[int, Life] = {}  # emptied as each req ends
-        self.cookies: dict[int, tuple[Life, int]] = {}  # emptied as each timer rings
+        self.held: dict[int, RequestCoroutine] = {}  # emptied as each req ends
+        self.cookies: dict[int, tuple[RequestCoroutine, int]] = {}  # emptied as each timer rings
         self.next_cookie = ASK + 1
         self.out: list[dict[str, Any]] = []
 
@@ -47,8 +47,8 @@
         b = self.balancer
         match cmd:
             case "ACCEPT":
-                held = Life(m["job"], b.serve(codec.req(m, now), now))
-                self.held[held.ident] = held
+                held = RequestCoroutine(m["job"], b.serve(codec.req(m, now), now))
+                self.held[held.request_id] = held
                 self.resume(held, None, now)
             case "CLOSED_ATTEMPT":
                 ended = codec.ended(m, self.machine(m["machine"]))
@@ -65,14 +65,14 @@
                     self.act([i.WatchServerList()])
                 elif mark := self.cookies.pop(m["cookie"], None):
                     held, wait = mark
-                    if held.wait == wait:
+                    if held.wait_number == wait:
                         self.resume(held, None, now)
             case "CANCELLED_BY_CLIENT":
                 if held := self.held.get(m["job"]):
                     self.drop(held)
             case "ACCEPTED":
                 if held := self.held.get(m["job"]):
-                    held.calm()  # the stream has begun
+                    held.cancel_timeout()  # the stream has begun
             case "DISCOVERY":
                 if m["kind"] == codec.FAILED:
                     self.ask_again(now)
@@ -103,9 +103,9 @@
         self.told = None
         self.put(codec.action(i.WakeAt(now + self.asking.next_pause_ms(stood)), None, None, ASK))
 
-    def drop(self, held: Life) -> None:
-        held.end()
-        del self.held[held.ident]
+    def drop(self, held: RequestCoroutine) -> None:
+        held.close()
+        del self.held[held.request_id]
 
     def act(self, actions: Iterable[i.Action]) -> None:
         for a in actions:
@@ -116,15 +116,15 @@
         message["front_id"] = self.number
         self.out.append(message)
 
-    def resume(self, held: Life, result: i.AttemptEnded | None, now: float) -> None:
+    def resume(self, held: RequestCoroutine, result: i.AttemptEnded | None, now: float) -> None:
         for act in held.resume(result, now):
             word = self.words[act.server] if isinstance(act, i.SendAttempt) else None
-            self.put(codec.action(act, word, held.ident))
-        if held.over:
-            del self.held[held.ident]
-        elif held.patience is not None:
-            self.cookies[self.next_cookie] = (held, held.wait)
-            self.put(codec.action(i.WakeAt(now + held.patience), None, None, self.next_cookie))
+            self.put(codec.action(act, word, held.request_id))
+        if held.finished:
+            del self.held[held.request_id]
+        elif held.max_wait_ms is not None:
+            self.cookies[self.next_cookie] = (held, held.wait_number)
+            self.put(codec.action(i.WakeAt(now + held.max_wait_ms), None, None, self.next_cookie))
             self.next_cookie += 1
 
 
--- a/myrtleroad/net/client_listener.py
+++ b/myrtleroad/net/client_listener.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 
 from myrtleroad import interface as i
-from myrtleroad.answers.entry import Entry, Word
+from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
 from myrtleroad.net import http1, response
 from myrtleroad.net.actor import report_fault
 from myrtleroad.net.clock import Clock
@@ -290,7 +290,7 @@
         self.deliver, self.is_ready = deliver, is_ready
         self.clients: set[ClientConnection] = set()  # emptied as each connection closes
         self.lag, self.early = ReadDelay(clock), RateLimitedWarnings(log)
-        self.entry = Entry(r.objective_ms for r in told.facts.routes)
+        self.entry = AdmissionControl(r.objective_ms for r in told.facts.routes)
         self.most = (told.sockets - RESERVED_DESCRIPTORS) // 2  # the other half is for machines
         self.many = (
             told.sockets // 4
@@ -335,8 +335,8 @@
     def word(self, rq: i.Request, message: http1.Message, age: float, now: float) -> response.Response | None:
         """The answer to a req that has waited unread for too long; nothing was sent for it."""
         self.counters.high("longest_unread_ms", age)
-        word = self.entry.word(age, rq.deadline - now, now)
-        if word == Word.TAKE:
+        word = self.entry.decide(age, rq.deadline - now, now)
+        if word == AdmissionDecision.TAKE:
             return None
         self.counters.add(f"reqs_unread_{word.name.lower()}")
         txn, left = (message.header(b"x-txn") or b"").decode("latin-1"), round(rq.deadline - now, 1)
--- a/myrtleroad/net/dispatcher.py
+++ b/myrtleroad/net/dispatcher.py
@@ -10,10 +10,8 @@
 from gevent.queue import Empty, SimpleQueue
 
 from myrtleroad import interface as i
-from myrtleroad.answers.account import off
-from myrtleroad.answers.entry import Entry, Word
-from myrtleroad.facts import LOAD
-from myrtleroad.life import Life
+from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
+from myrtleroad.admission.request_accounting import unaccounted_requests
 from myrtleroad.net import response
 from myrtleroad.net.actor import keep_running, report_fault
 from myrtleroad.net.clock import Clock
@@ -34,6 +32,8 @@
     UpstreamServer,
 )
 from myrtleroad.policy.balancer import Balancer
+from myrtleroad.request_coroutine import RequestCoroutine
+from myrtleroad.settings import LOAD_COLUMN
 
 RESERVED_DESCRIPTORS = (
     24  # descriptors for all else: log, clock, both streams, twice while they move, a vote, some to spare
@@ -59,7 +59,7 @@
         return None
     pairs = (pair.partition("=") for pair in text.split(","))
     try:
-        value = float({name.strip(): value for name, _, value in pairs}[LOAD])
+        value = float({name.strip(): value for name, _, value in pairs}[LOAD_COLUMN])
     except (KeyError, ValueError):
         return None
     return value if 0 <= value < MAX_REPORTED_LOAD else None
@@ -83,7 +83,7 @@
 class OpenRequest:
     """One open req: its life in the module, and whom its answer is for."""
 
-    life: Life
+    life: RequestCoroutine
     taken: RequestReceived
     sent: list[int] = field(default_factory=list)  # the machine of each try
 
@@ -104,7 +104,7 @@
         self.balancer = Balancer(told.facts, told.seed, clock())
         self.open: dict[int, OpenRequest] = {}  # emptied as each req ends
         self.ids: Counter[bytes] = Counter()  # of open reqs and of tries that are out; emptied as each ends
-        self.timers: list[tuple[float, int, Life | None, int]] = []  # emptied as each timer rings
+        self.timers: list[tuple[float, int, RequestCoroutine | None, int]] = []  # emptied as each timer rings
         self.timer_no = 0
         self.index: dict[str, int] = {}  # machine words; grows with the fleet, never with reqs
         self.names: list[str] = []  # the word of each number in ``index``
@@ -119,7 +119,7 @@
         self.list_age: Callable[[float], float] = lambda now: 0.0
         self.vote: Callable[[i.Vote], None] = lambda act: None
         self.overdue, self.behind = RateLimitedWarnings(log), RateLimitedWarnings(log, 1)
-        self.entry = Entry(r.objective_ms for r in told.facts.routes)
+        self.entry = AdmissionControl(r.objective_ms for r in told.facts.routes)
         self.lag = 0.0  # ms that the last message or timer came after its time
         self.clients: Callable[[], int] = lambda: 0  # connections held, for the log
 
@@ -159,7 +159,7 @@
             return
         if isinstance(message, AttemptResult):
             if held := self.open.get(message.job.ident):
-                held.life.end()
+                held.life.close()
                 self.answer(held, response.bad_gateway())
         elif isinstance(message, RequestReceived) and message.rq.id not in self.open:
             message.answer(response.bad_gateway())
@@ -170,7 +170,7 @@
         if now < self.look_at:
             return
         self.look_at = now + DEADLINE_SLACK_MS
-        lost = off(self.counters.counts, len(self.open))
+        lost = unaccounted_requests(self.counters.counts, len(self.open))
         if lost != self.off:
             # Guards against a req that leaves the account unseen: told once a change, not once a look.
             self.counters.add("account_off", abs(lost - self.off))
@@ -178,7 +178,7 @@
             self.off = lost
         for held in [x for x in self.open.values() if now > x.taken.rq.deadline + DEADLINE_SLACK_MS]:
             self.counters.add("reqs_expired")
-            held.life.end()
+            held.life.close()
             self.answer(held, response.bad_gateway())
 
     def tell(self, message: object) -> None:
@@ -218,7 +218,7 @@
                 self.ended(message, now)
             case ClientGone(ident):
                 if held := self.open.pop(ident, None):
-                    held.life.end()
+                    held.life.close()
                     self.let_go(held.taken.message)
                     self.counters.add("reqs_gone")
             case ServerListing():
@@ -239,8 +239,8 @@
             if life is DECISION_WAKEUP:
                 if not self.guard("wake", lambda: self.act(self.balancer.wake(now), now)):
                     self.set_timer(now + 100.0, DECISION_WAKEUP, 0)  # a fault must not end the module's clock
-            elif life.wait == wait and life.ident in self.open:
-                self.resume(self.open[life.ident], None, now)
+            elif life.wait_number == wait and life.request_id in self.open:
+                self.resume(self.open[life.request_id], None, now)
 
     def late_by(self, what: str, lag: float, now: float) -> None:
         """How long what is taken up now has waited for this actor."""
@@ -259,14 +259,14 @@
         self.act(self.balancer.stage_news(news, now), now)
         self.on_news()
 
-    def set_timer(self, at: float, life: Life | None, wait: int) -> None:
+    def set_timer(self, at: float, life: RequestCoroutine | None, wait: int) -> None:
         self.timer_no += 1
         heapq.heappush(self.timers, (at, self.timer_no, life, wait))
 
     def taken(self, message: RequestReceived, now: float) -> None:
         rq, word = message.rq, message.message.header(b"x-txn")
-        unread = self.entry.word(message.age + now - message.at, rq.deadline - now, now)
-        if unread != Word.TAKE:
+        unread = self.entry.decide(message.age + now - message.at, rq.deadline - now, now)
+        if unread != AdmissionDecision.TAKE:
             self.counters.add(f"reqs_waited_{unread.name.lower()}")
             message.answer(response.overloaded(self.told.facts))
             return
@@ -276,7 +276,7 @@
             return
         self.ids[word] = 1
         self.counters.add("reqs_taken")
-        held = OpenRequest(Life(rq.id, self.balancer.serve(rq, now)), message)
+        held = OpenRequest(RequestCoroutine(rq.id, self.balancer.serve(rq, now)), message)
         self.open[rq.id] = held
         self.resume(held, None, now)
 
@@ -292,7 +292,7 @@
         )
         self.guard("try ended", self.balancer.observe, job.ident, ended, now)
         if held and done:
-            held.life.end()
+            held.life.close()
             self.answer(held, response.completed(message.result))
         elif held:
             self.resume(held, ended, now)
@@ -315,12 +315,12 @@
                 self.carry_out(held, act, now)
         except Exception as error:
             report_fault("req", error, self.counters, self.log)
-            held.life.end()
-        if held.life.over:
-            if held.life.ident in self.open:
+            held.life.close()
+        if held.life.finished:
+            if held.life.request_id in self.open:
                 self.answer(held, response.bad_gateway())
-        elif held.life.patience is not None:
-            self.set_timer(now + held.life.patience, held.life, held.life.wait)
+        elif held.life.max_wait_ms is not None:
+            self.set_timer(now + held.life.max_wait_ms, held.life, held.life.wait_number)
 
     def carry_out(self, held: OpenRequest, act: i.Action, now: float) -> None:
         match act:
@@ -332,7 +332,7 @@
                 self.answer(held, response.bad_gateway())
             case i.CancelAttempt():
                 if machine := self.machines.get(held.sent[act.attempt_number]):
-                    machine.mailbox.put(StopAttempt(held.life.ident, act.attempt_number))
+                    machine.mailbox.put(StopAttempt(held.life.request_id, act.attempt_number))
             case _:
                 raise TypeError(f"no action of a req: {act!r}")
 
@@ -341,7 +341,7 @@
         ends_at = min(now + act.timeout_ms, held.taken.rq.deadline)
         ticket = (row.build, row.started_at, self.cap(row.build))
         number, message = len(held.sent), held.taken.message
-        job = AttemptJob(held.life.ident, number, act.server, message, now, ends_at, ticket)
+        job = AttemptJob(held.life.request_id, number, act.server, message, now, ends_at, ticket)
         held.sent.append(act.server)
         self.ids[message.header(b"x-txn")] += 1
         self.counters.add("tries")
@@ -378,7 +378,7 @@
             self.log("attempt", level="debug", list_age_ms=round(list_age, 1), **what)
 
     def answer(self, held: OpenRequest, final: response.Response) -> None:
-        if self.open.pop(held.life.ident, None):
+        if self.open.pop(held.life.request_id, None):
             self.let_go(held.taken.message)
             self.counters.add(f"reqs_{final.kind}")
             if self.log.writes("debug"):
--- a/myrtleroad/net/node_config.py
+++ b/myrtleroad/net/node_config.py
@@ -9,7 +9,7 @@
 import orjson
 
 from myrtleroad import interface as i
-from myrtleroad.facts import facts, ms
+from myrtleroad.settings import decode_settings, ns_to_ms
 
 if TYPE_CHECKING:
     from myrtleroad.config import rules
@@ -201,15 +201,15 @@
             platform=parse_address(m["platform"]["address"]),
             seed=int(str(m["seed"]), 16),
             sockets=int(m["limits"]["sockets"]),
-            facts=facts(s),
+            facts=decode_settings(s),
             news=stage_update(m["platform"]["news"]),
             known=known,
             routes={lane["name"].encode(): n for n, lane in enumerate(s["lanes"])},
             tenants={t["name"].encode(): n for n, t in enumerate(s.get("tenants") or ())},
             zones=zones,
             kinds=kinds,
-            connect_ms=ms(s["limits"]["connect_timeout"]),
-            idle_ms=ms(s["limits"]["idle_close"]),
+            connect_ms=ns_to_ms(s["limits"]["connect_timeout"]),
+            idle_ms=ns_to_ms(s["limits"]["idle_close"]),
         )
     except DECODE_ERRORS as error:
         raise ConfigError(f"configuration unclear: {type(error).__name__}: {error}") from None
--- a/myrtleroad/life.py
+++ b/myrtleroad/request_coroutine.py
@@ -5,42 +5,42 @@
 from myrtleroad import interface as i
 
 
-class Life:
+class RequestCoroutine:
     """One open req: its generator, and the wait it is in. A timer set in an earlier wait is void."""
 
-    __slots__ = ("begun", "gen", "ident", "patience", "wait")
+    __slots__ = ("generator", "max_wait_ms", "request_id", "started", "wait_number")
 
     def __init__(self, ident: int, gen: Generator[i.Action, tuple[float, i.AttemptEnded | None], None]):
-        self.ident, self.gen = ident, gen
-        self.begun = False
-        self.wait = 0  # counts the waits
-        self.patience: float | None = None  # of the wait it is in
+        self.request_id, self.generator = ident, gen
+        self.started = False
+        self.wait_number = 0  # counts the waits
+        self.max_wait_ms: float | None = None  # of the wait it is in
 
     def resume(self, result: i.AttemptEnded | None, now: float) -> Iterator[i.Action]:
         """The actions up to the next wait; the last of all is followed by no wait, see ``over``."""
-        self.calm()
+        self.cancel_timeout()
         while True:
             try:
-                act = self.gen.send((now, result)) if self.begun else next(self.gen)
+                act = self.generator.send((now, result)) if self.started else next(self.generator)
             except StopIteration:
-                self.gen.close()
+                self.generator.close()
                 return
-            self.begun, result = True, None
+            self.started, result = True, None
             if not isinstance(act, i.Wait):
                 yield act
             if isinstance(act, i.SendAttempt | i.Wait):
-                self.patience = act.max_wait_ms
+                self.max_wait_ms = act.max_wait_ms
                 return
 
     @property
-    def over(self) -> bool:
-        return self.gen.gi_frame is None
+    def finished(self) -> bool:
+        return self.generator.gi_frame is None
 
-    def calm(self) -> None:
+    def cancel_timeout(self) -> None:
         """Patience no longer runs in this wait."""
-        self.wait += 1
-        self.patience = None
+        self.wait_number += 1
+        self.max_wait_ms = None
 
-    def end(self) -> None:
-        self.gen.close()
-        self.calm()
+    def close(self) -> None:
+        self.generator.close()
+        self.cancel_timeout()
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from myrtleroad import interface as i
-from myrtleroad.answers.account import off
+from myrtleroad.admission.request_accounting import unaccounted_requests
 from myrtleroad.net import dispatcher, upstream_server
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
@@ -100,7 +100,7 @@
     @invariant()
     def one_answer_each_and_sums_that_add_up(self):
         assert all(len(got) <= 1 for got in self.answers.values())
-        assert off(self.b.counters.counts, len(self.b.open)) == 0
+        assert unaccounted_requests(self.b.counters.counts, len(self.b.open)) == 0
 
     @invariant()
     def none_is_left_open_past_its_time(self):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -9,7 +9,7 @@
 from test_front import AT, balanced, build_brain, ends, sent, taken
 
 from myrtleroad import interface as i
-from myrtleroad.answers.entry import Entry, Word
+from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
 from myrtleroad.net import dispatcher, response, upstream_server
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
@@ -82,12 +82,12 @@
 
 
 def test_a_burst_is_served_and_a_standing_queue_cut_from_its_head():
-    entry = Entry([800.0, 750.0])  # a wait of 75 ms is over the target; it stands after 150
-    assert {entry.word(300.0, 500.0, now) for now in (0.0, 50.0, 149.0)} == {Word.TAKE}
-    assert entry.word(200.0, 500.0, 150.0) == Word.STANDING
-    assert entry.word(20.0, 500.0, 160.0) == Word.TAKE  # the queue has emptied
-    assert entry.word(200.0, 500.0, 170.0) == Word.TAKE
-    assert entry.word(10.0, 0.0, 180.0) == Word.OVER
+    entry = AdmissionControl([800.0, 750.0])  # a wait of 75 ms is over the target; it stands after 150
+    assert {entry.decide(300.0, 500.0, now) for now in (0.0, 50.0, 149.0)} == {AdmissionDecision.TAKE}
+    assert entry.decide(200.0, 500.0, 150.0) == AdmissionDecision.STANDING
+    assert entry.decide(20.0, 500.0, 160.0) == AdmissionDecision.TAKE  # the queue has emptied
+    assert entry.decide(200.0, 500.0, 170.0) == AdmissionDecision.TAKE
+    assert entry.decide(10.0, 0.0, 180.0) == AdmissionDecision.OVER
 
 
 def held_loop(d, clients_of, ms):
--- a/tests/test_answers_faults.py
+++ b/tests/test_answers_faults.py
@@ -11,7 +11,7 @@
 from test_front import AT, balanced, build_brain, ends, sent, taken
 
 from myrtleroad import interface as i
-from myrtleroad.answers.entry import Entry, Word
+from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
 from myrtleroad.net import dispatcher, response, upstream_server
 from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
 
@@ -101,17 +101,17 @@
 
 @given(st.lists(st.tuples(st.floats(0.0, 400.0), st.floats(0.0, 30.0)), max_size=60))
 def test_none_is_refused_whose_wait_is_short_and_none_of_a_short_spell(waits):
-    entry, now, since = Entry([500.0]), 0.0, None
+    entry, now, since = AdmissionControl([500.0]), 0.0, None
     for age, step in waits:
         now += step
         since = None if age <= 50.0 else now if since is None else since
-        word = entry.word(age, 1000.0, now)
-        assert (word == Word.STANDING) == (since is not None and now - since >= 100.0)
+        word = entry.decide(age, 1000.0, now)
+        assert (word == AdmissionDecision.STANDING) == (since is not None and now - since >= 100.0)
 
 
 def test_a_crowd_that_waits_is_refused_and_the_front_serves_again_after_it():
     d, waiting = build_door()
-    d.entry.target = 10.0
+    d.entry.target_ms = 10.0
     socks = [client(d) for _ in range(30)]
     gevent.sleep(0.01)
     took = 0
@@ -137,7 +137,7 @@
     )
     b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 40.0, answers.append, 20.0))
     assert not answers  # it has time left, and one wait is no standing queue
-    b.entry.above_since = b.clock() - 1000.0
+    b.entry.above_target_since = b.clock() - 1000.0
     b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 70.0, answers.append, 20.0))
     assert [a.status for a in answers] == [503] and b.counters.counts["reqs_waited_standing"] == 1
     assert b.counters.counts["reqs_taken"] == 1 and balanced(b)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -12,7 +12,7 @@
 from gevent.queue import SimpleQueue
 
 from myrtleroad import interface as i
-from myrtleroad.answers.account import off
+from myrtleroad.admission.request_accounting import unaccounted_requests
 from myrtleroad.net import actor, dispatcher, front, node_config, response, upstream_server
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
@@ -57,7 +57,7 @@
 
 
 def balanced(b):
-    return off(b.counters.counts, len(b.open)) == 0
+    return unaccounted_requests(b.counters.counts, len(b.open)) == 0
 
 
 def test_a_completed_try_answers_its_req_with_the_machines_body():
