--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,11 +7,11 @@
 from gevent.queue import SimpleQueue
 
 from myrtleroad import interface as i
-from myrtleroad.net import desk, head, roster, stream, told
+from myrtleroad.net import discovery, http1, node_config, platform, stream
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
-from myrtleroad.net.ending import Answer, Broken, Cause, Reach
-from myrtleroad.net.lookout import Lookout
+from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
+from myrtleroad.net.stream_poller import StreamPoller
 
 AT = ("127.0.0.1", 8443)
 FIRST = {"generation": 8, "reset": False, "instances": [listed("s-1", AT, lifecycle="terminating")]}
@@ -22,14 +22,14 @@
 
 def build_roster(at=("127.0.0.1", 9), **changes):
     said = SimpleQueue()
-    post = stream.Post(Clock(), said.put, Lookout())
-    return roster.Roster(build_told(discovery=at, **changes), Counters(), silent, post), said
+    post = stream.FollowerContext(Clock(), said.put, StreamPoller())
+    return discovery.DiscoveryClient(build_told(discovery=at, **changes), Counters(), silent, post), said
 
 
 def build_bulletin(at=("127.0.0.1", 9)):
     said = SimpleQueue()
-    post = stream.Post(Clock(), said.put, Lookout())
-    return desk.Bulletin(build_told(platform=at), Counters(), silent, post), said
+    post = stream.FollowerContext(Clock(), said.put, StreamPoller())
+    return platform.StageUpdates(build_told(platform=at), Counters(), silent, post), said
 
 
 class Still(stream.Stream):
@@ -50,22 +50,22 @@
 
 def following(follower):
     follower.open = lambda number: Still(follower, number)
-    if isinstance(follower, roster.Roster):
+    if isinstance(follower, discovery.DiscoveryClient):
         follower.sources[0] = 0
-    follower.carry(follower.following.want(follower.clock()))
+    follower.carry(follower.following.start(follower.clock()))
     del follower.open
     return follower.streams[0]
 
 
 def moved(r, port):
     r.open = lambda number: Still(r, number)
-    r.sources[r.following.next] = r.following.source + 1
-    r.take(told.Moved(("127.0.0.1", port)))
+    r.sources[r.following.next_stream] = r.following.source + 1
+    r.take(node_config.AddressChanged(("127.0.0.1", port)))
     del r.open
     return r.streams[max(r.streams)]
 
 
-def lists_of(said, kind=told.Listing):
+def lists_of(said, kind=node_config.ServerListing):
     """What was delivered so far, of one kind."""
     got = [said.get() for _ in range(said.qsize())]
     return [m for m in got if isinstance(m, kind)]
@@ -82,7 +82,7 @@
     first, second = lists_of(said)
     assert (first.kind, first.version, second.kind) == (i.ListKind.CHANGES, 8, i.ListKind.WHOLE)
     (entry,) = first.entries
-    assert (entry.word, entry.address, entry.row.status) == ("s-1", AT, i.Status.DRAINING)
+    assert (entry.word, entry.address, entry.row.status) == ("s-1", AT, i.ServerStatus.DRAINING)
     assert r.book.version == 9
 
 
@@ -115,8 +115,11 @@
     r, said = build_roster(Peer(talk).at)
     running = gevent.spawn(r.run)
     got = [said.get() for _ in range(4)]
-    assert [m.sight for m in got if isinstance(m, i.Sighted)] == [i.Sight.FRESH, i.Sight.BLIND]
-    assert [m.version for m in got if isinstance(m, told.Listing)] == [8, 9]
+    assert [m.freshness for m in got if isinstance(m, i.ListFreshnessChanged)] == [
+        i.ListFreshness.FRESH,
+        i.ListFreshness.BLIND,
+    ]
+    assert [m.version for m in got if isinstance(m, node_config.ServerListing)] == [8, 9]
     assert asked == [b"GET /api/targets?watch=1&after=7 HTTP/1.1"]
     running.kill()
 
@@ -182,13 +185,17 @@
     rows = [listed("s-1", AT) | bad, listed("s-2", AT, lifecycle="terminating"), 7]
     told_by(r, r.streams[0], orjson.dumps(FIRST | {"generation": 9, "instances": rows}) + b"\n")
     statuses = {e.word: e.row.status for e in lists_of(said)[-1].entries}
-    assert statuses == {"s-1": i.Status.DRAINING, "s-2": i.Status.DRAINING} and r.fetching and r.streams
+    assert (
+        statuses == {"s-1": i.ServerStatus.DRAINING, "s-2": i.ServerStatus.DRAINING}
+        and r.fetching
+        and r.streams
+    )
 
 
 def test_a_line_without_end_ends_its_connection(monkeypatch):
-    monkeypatch.setattr(stream, "LINE_LIMIT", 100)
+    monkeypatch.setattr(stream, "MAX_LINE_BYTES", 100)
     r, _ = build_roster()
-    with pytest.raises(head.Unfit):
+    with pytest.raises(http1.HttpError):
         following(r).take(b"x" * 101)
 
 
@@ -204,7 +211,7 @@
     r, said = build_roster()
     old = following(r)
     told_by(r, old, lists(8))
-    r.take(told.Moved(Peer(new).at))
+    r.take(node_config.AddressChanged(Peer(new).at))
     while not asked:
         gevent.sleep(0.001)
     told_by(r, old, lists(9))
@@ -224,7 +231,7 @@
     new = moved(r, 10)
     told_by(r, new, lists(8, reset=True))
     assert [m.version for m in lists_of(said)] == [9] and list(r.streams) == [0, 1]
-    r.mailbox.put(stream.Over(old, "ended"))
+    r.mailbox.put(stream.StreamEnded(old, "ended"))
     told_by(r, new, b"")  # a sole one's word stands, whatever its numbers
     assert [m.version for m in lists_of(said)] == [8] and r.book.source == 1
 
@@ -236,15 +243,17 @@
     for port in (10, 11):
         new = moved(r, port)
     assert new.at == ("127.0.0.1", 11) and r.streams[0] is old
-    r.take(stream.Over(new, "refused", reached=False))
-    assert r.following.sight == i.Sight.FRESH and r.following.due() < r.clock() + 500
+    r.take(stream.StreamEnded(new, "refused", reached=False))
+    assert r.following.freshness == i.ListFreshness.FRESH and r.following.due() < r.clock() + 500
 
 
 @pytest.mark.parametrize("cut", range(1, len(EVENT)))
 def test_the_bulletin_is_read_wherever_it_is_split(cut):
     b, said = build_bulletin()
     told_by(b, following(b), EVENT, cut)
-    assert [said.get()] == [i.StageNews(i.End.COMPLETED, False, 42, 1, i.Phase.ON_TRIAL, 0.28, 310.0)]
+    assert [said.get()] == [
+        i.StageUpdate(i.Outcome.COMPLETED, False, 42, 1, i.RolloutPhase.ON_TRIAL, 0.28, 310.0)
+    ]
     assert said.empty()
 
 
@@ -285,29 +294,29 @@
 @pytest.mark.parametrize(
     ("result", "end"),
     [
-        (Answer(200, [], [STATE]), i.End.COMPLETED),
-        (Answer(200, [], [STATE[:-30]]), i.End.TIMEOUT),
-        (Answer(200, [], [b"<Response/>"]), i.End.TIMEOUT),
-        (Answer(400, [], xml(b"throttled")), i.End.FULL),
-        (Answer(400, [], [b"<Response>%b</Response>" % xml(b"throttled")[0]]), i.End.FULL),
-        (Answer(400, [], xml(b"conflict")), i.End.MOOT),
-        (Answer(400, [], xml(b"invalid")), i.End.ERRORED),
-        (Answer(500, [], xml(b"internal")), i.End.ERRORED),
-        (Answer(500, [], [b"no"]), i.End.TIMEOUT),
-        (Answer(400, [], xml(b"other")), i.End.TIMEOUT),
-        (Answer(503, [], xml(b"throttled")), i.End.TIMEOUT),
-        (Answer(200, [], [STATE.replace(b"0.28", b"nan")]), i.End.TIMEOUT),
-        (Broken(Reach.NOT_CONNECTED, Cause.ENDED), i.End.ERRORED),
-        (Broken(Reach.CONNECTED, Cause.ENDED), i.End.ERRORED),
-        (Broken(Reach.WRITTEN, Cause.ENDED), i.End.TIMEOUT),
-        (Broken(Reach.BEGUN, Cause.UNREADABLE), i.End.TIMEOUT),
+        (UpstreamResponse(200, [], [STATE]), i.Outcome.COMPLETED),
+        (UpstreamResponse(200, [], [STATE[:-30]]), i.Outcome.TIMEOUT),
+        (UpstreamResponse(200, [], [b"<Response/>"]), i.Outcome.TIMEOUT),
+        (UpstreamResponse(400, [], xml(b"throttled")), i.Outcome.FULL),
+        (UpstreamResponse(400, [], [b"<Response>%b</Response>" % xml(b"throttled")[0]]), i.Outcome.FULL),
+        (UpstreamResponse(400, [], xml(b"conflict")), i.Outcome.MOOT),
+        (UpstreamResponse(400, [], xml(b"invalid")), i.Outcome.ERRORED),
+        (UpstreamResponse(500, [], xml(b"internal")), i.Outcome.ERRORED),
+        (UpstreamResponse(500, [], [b"no"]), i.Outcome.TIMEOUT),
+        (UpstreamResponse(400, [], xml(b"other")), i.Outcome.TIMEOUT),
+        (UpstreamResponse(503, [], xml(b"throttled")), i.Outcome.TIMEOUT),
+        (UpstreamResponse(200, [], [STATE.replace(b"0.28", b"nan")]), i.Outcome.TIMEOUT),
+        (ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.ENDED), i.Outcome.ERRORED),
+        (ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.ENDED), i.Outcome.ERRORED),
+        (ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED), i.Outcome.TIMEOUT),
+        (ExchangeFailure(ExchangeProgress.BEGUN, FailureCause.UNREADABLE), i.Outcome.TIMEOUT),
     ],
 )
 def test_what_came_of_a_vote(result, end):
-    news = desk.news_of(result)
-    assert news.end == end and news.answers_vote
-    if end == i.End.COMPLETED:
-        assert (news.build, news.stage, news.phase, news.cap) == (42, 1, i.Phase.ON_TRIAL, 0.28)
+    news = platform.vote_result(result)
+    assert news.outcome == end and news.answers_vote
+    if end == i.Outcome.COMPLETED:
+        assert (news.build, news.stage, news.phase, news.cap) == (42, 1, i.RolloutPhase.ON_TRIAL, 0.28)
 
 
 def test_a_vote_is_written_as_a_form_and_each_has_its_own_connection():
@@ -318,11 +327,11 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(STATE) + STATE)
 
     peer, said = Peer(talk, talk), SimpleQueue()
-    d = desk.Desk(build_told(platform=peer.at), Counters(), silent, said.put)
+    d = platform.VoteCaster(build_told(platform=peer.at), Counters(), silent, said.put)
     gevent.spawn(d.run)
     for verdict in (i.Verdict.ON, i.Verdict.BACK):
         d.mailbox.put(i.Vote(42, verdict, 1))
-        assert said.get().end == i.End.COMPLETED
+        assert said.get().outcome == i.Outcome.COMPLETED
     assert [f.split(b"&")[3] for f in forms] == [b"Decision=approve", b"Decision=reject"]
     assert forms[0].startswith(b"Action=RecordOpinion&Revision=42&Wave=1&") and peer.met == 2
 
@@ -335,11 +344,11 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(STATE) + STATE)
 
     peer, said = Peer(talk), SimpleQueue()
-    d = desk.Desk(build_told(), Counters(), silent, said.put)
+    d = platform.VoteCaster(build_told(), Counters(), silent, said.put)
     gevent.spawn(d.run)
-    d.mailbox.put(told.Moved(peer.at))
+    d.mailbox.put(node_config.AddressChanged(peer.at))
     d.mailbox.put(i.Vote(42, i.Verdict.ON, 1))
-    assert said.get().end == i.End.COMPLETED and len(forms) == 1
+    assert said.get().outcome == i.Outcome.COMPLETED and len(forms) == 1
 
 
 def test_a_vote_that_nothing_comes_of_may_count():
@@ -347,19 +356,21 @@
         read_req(sock)
         sock.recv(1)
 
-    d = desk.Desk(build_told(platform=Peer(talk).at), Counters(), silent, None)
+    d = platform.VoteCaster(build_told(platform=Peer(talk).at), Counters(), silent, None)
     d.wait_s = 0.02
-    assert d.cast(i.Vote(1, i.Verdict.ON, 0)) == Broken(Reach.WRITTEN, Cause.TIMEOUT)
+    assert d.cast(i.Vote(1, i.Verdict.ON, 0)) == ExchangeFailure(
+        ExchangeProgress.WRITTEN, FailureCause.TIMEOUT
+    )
 
 
 def test_the_start_is_decoded_once():
     t = build_told(listed("s-1", AT, zone="there", startedAtMs=12, version_no=41))
     assert (t.seed, t.sockets, t.connect_ms, t.idle_ms) == (0x8C1F30D27A5BE964, 1024, 250.0, 15000.0)
     assert (t.routes, t.tenants) == ({b"look": 0, b"book": 1}, {b"acme": 0})
-    assert t.facts.routes[1].effect == i.Effect.NON_RETRIABLE and t.facts.load_column == 0
-    assert t.known.kind == i.ListKind.REMEMBERED and t.news.phase == i.Phase.RELEASED
+    assert t.facts.routes[1].retry_safety == i.RetrySafety.NON_RETRIABLE and t.facts.load_column == 0
+    assert t.known.kind == i.ListKind.REMEMBERED and t.news.phase == i.RolloutPhase.RELEASED
     row = t.known.entries[0].row
-    assert (row.zone, row.started, row.build, row.status) == (1, 12.0, 41, i.Status.IN_SERVICE)
+    assert (row.zone, row.started_at, row.build, row.status) == (1, 12.0, 41, i.ServerStatus.IN_SERVICE)
 
 
 @pytest.mark.parametrize(
@@ -374,8 +385,8 @@
     ],
 )
 def test_a_configuration_that_cannot_be_read_is_one_plain_line(text):
-    with pytest.raises(told.Unclear) as fault:
-        told.decode(text)
+    with pytest.raises(node_config.ConfigError) as fault:
+        node_config.decode_node_config(text)
     assert "\n" not in str(fault.value)
 
 
@@ -397,7 +408,7 @@
 def test_a_whole_list_without_an_end_is_given_up():
     def talk(sock):
         read_req(sock)
-        sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (stream.LINE_LIMIT + 1))
+        sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (stream.MAX_LINE_BYTES + 1))
 
     r, _ = build_roster(Peer(talk).at)
     assert r.fetch(0).said is None
