--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -146,11 +146,11 @@
     def play(self, day: str, length: float = 20_000.0) -> Counter:
         self.length = length
         for f in self.fronts:
-            f.balancer.stage_news(self.news(1, i.RolloutPhase.RELEASED, 0.0), 0.0)
+            f.balancer.update_stage(self.news(1, i.RolloutPhase.RELEASED, 0.0), 0.0)
             rows = [
                 i.ServerEntry(*(getattr(n.row, name) for name in i.ServerEntry.__slots__)) for n in self.nodes
             ]
-            f.balancer.listed(i.ServerListUpdate(i.ListKind.REMEMBERED, rows), 0.0)
+            f.balancer.update_server_list(i.ServerListUpdate(i.ListKind.REMEMBERED, rows), 0.0)
             self.at(self.chance.uniform(0, 100), self.wake, f)
         self.arrive(Weights(self.fronts))
         getattr(self, f"on_{day}")()
@@ -204,7 +204,7 @@
             n.started = n.row.started_at = 1.0
             self.tell(n, 0.0)
         for f in self.fronts:
-            self.at(500.0, f.balancer.stage_news, self.news(2, i.RolloutPhase.ON_TRIAL, self.cap), 500.0)
+            self.at(500.0, f.balancer.update_stage, self.news(2, i.RolloutPhase.ON_TRIAL, self.cap), 500.0)
 
     # --- what happens to machines and fronts ---
 
@@ -245,17 +245,17 @@
 
     def told(self, f: Front, row: i.ServerEntry) -> None:
         f.knows[row.server] = (row.status, self.now)
-        f.balancer.listed(i.ServerListUpdate(i.ListKind.CHANGES, [row]), self.now)
+        f.balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [row]), self.now)
 
     def restart(self, f: Front) -> None:
         """Killed outright: what it held is gone, owed to nobody."""
         old = f.balancer
         f.balancer = Balancer(old.settings, self.chance.getrandbits(40), self.now)
-        f.balancer.stage_news(self.news(1, i.RolloutPhase.RELEASED, 0.0), self.now)
+        f.balancer.update_stage(self.news(1, i.RolloutPhase.RELEASED, 0.0), self.now)
         rows = [
             i.ServerEntry(*(getattr(n.row, name) for name in i.ServerEntry.__slots__)) for n in self.nodes
         ]
-        f.balancer.listed(i.ServerListUpdate(i.ListKind.REMEMBERED, rows), self.now)
+        f.balancer.update_server_list(i.ServerListUpdate(i.ListKind.REMEMBERED, rows), self.now)
         for number, freed in f.idle.items():
             self.nodes[number].conns -= len(freed)
         f.idle = {}
@@ -284,7 +284,7 @@
         tenant = 0 if (u := self.chance.random()) < 0.4 else 1 if u < 0.7 else 2
         rq = i.Request(self.counts["taken"], route, tenant, None, self.now + r.timeout_ms, 0.0, False)
         f.taken.append(self.now)
-        life = RequestCoroutine(rq.id, f.balancer.serve(rq, self.now))
+        life = RequestCoroutine(rq.id, f.balancer.serve_request(rq, self.now))
         work = self.chance.lognormvariate(-0.2, 0.63) * WORK[route][0]
         self.step(f, f.balancer, rq, life, work, None)
 
@@ -313,7 +313,7 @@
         self.counts["tries"] += 1
         self.check(f, n)
         now = self.now
-        try_no = next(k for ident, k in reversed(b.machines[n.number].out) if ident == rq.id)
+        try_no = next(k for ident, k in reversed(b.servers[n.number].in_flight) if ident == rq.id)
         token, ctx = self.counts["tries"], (f, b, rq, life, work, n, try_no, now)
         n.out[token] = ctx
         idle = f.idle.get(n.number)
@@ -365,7 +365,7 @@
         self.counts[f"try_{end.name.lower()}"] += 1
         took, done = self.now - sent, end == i.Outcome.COMPLETED
         ended = i.AttemptEnded(n.number, try_no, end, took, float(n.held) if done else None, done)
-        b.observe(rq.id, ended, self.now)
+        b.record_outcome(rq.id, ended, self.now)
         if not done:
             return self.step(f, b, rq, life, work, ended)
         life.close()
--- a/myrtleroad/drill/host.py
+++ b/myrtleroad/drill/host.py
@@ -47,12 +47,12 @@
         b = self.balancer
         match cmd:
             case "ACCEPT":
-                held = RequestCoroutine(m["job"], b.serve(codec.req(m, now), now))
+                held = RequestCoroutine(m["job"], b.serve_request(codec.req(m, now), now))
                 self.held[held.request_id] = held
                 self.resume(held, None, now)
             case "CLOSED_ATTEMPT":
                 ended = codec.ended(m, self.machine(m["machine"]))
-                b.observe(m["job"], ended, now)
+                b.record_outcome(m["job"], ended, now)
                 held = self.held.get(m["job"])
                 if held and ended.request_finished:
                     self.drop(held)
@@ -81,13 +81,13 @@
                 if kind != i.ListKind.REMEMBERED:
                     self.told = now if self.told is None else self.told
                 rows = [codec.row(e, self.machine(e["machine"])) for e in lists[m.get("ref", 0)]]
-                self.act(b.listed(i.ServerListUpdate(kind, rows), now))
+                self.act(b.update_server_list(i.ServerListUpdate(kind, rows), now))
             case "SHIP_STATE":
-                self.act(b.stage_news(codec.stage_news(m), now))
+                self.act(b.update_stage(codec.stage_news(m), now))
             case "BAD_ANSWER":
-                b.flagged(codec.flagged(m, self.machine(m["machine"])), now)
+                b.record_bad_response(codec.flagged(m, self.machine(m["machine"])), now)
             case "SCORECARD":
-                b.tally(codec.tally(m), now)
+                b.record_counts(codec.tally(m), now)
             case "PROBED" | "DATAGRAM":
                 pass  # the module asks for no probes and sends no messages
             case _:
--- a/myrtleroad/net/dispatcher.py
+++ b/myrtleroad/net/dispatcher.py
@@ -225,7 +225,7 @@
                 self.counters.add("lists")
                 self.guard("list", self.listed, message, now)
             case i.SettingsNarrowed():
-                self.guard("narrowed", self.balancer.narrowed, message, now)
+                self.guard("narrowed", self.balancer.narrow_settings, message, now)
             case i.ListFreshnessChanged():
                 self.counters.add(f"list_{message.freshness.name.lower()}")
             case i.StageUpdate():
@@ -256,7 +256,7 @@
         if news.outcome == i.Outcome.COMPLETED and stage != self.stage:
             self.stage = stage
             self.log("stage", build=news.build, stage=news.stage, phase=news.phase.name, cap=news.cap)
-        self.act(self.balancer.stage_news(news, now), now)
+        self.act(self.balancer.update_stage(news, now), now)
         self.on_news()
 
     def set_timer(self, at: float, life: RequestCoroutine | None, wait: int) -> None:
@@ -276,7 +276,7 @@
             return
         self.ids[word] = 1
         self.counters.add("reqs_taken")
-        held = OpenRequest(RequestCoroutine(rq.id, self.balancer.serve(rq, now)), message)
+        held = OpenRequest(RequestCoroutine(rq.id, self.balancer.serve_request(rq, now)), message)
         self.open[rq.id] = held
         self.resume(held, None, now)
 
@@ -290,7 +290,7 @@
         ended = i.AttemptEnded(
             job.machine, job.try_no, message.end, message.took_ms, load, over, connected_at
         )
-        self.guard("try ended", self.balancer.observe, job.ident, ended, now)
+        self.guard("try ended", self.balancer.record_outcome, job.ident, ended, now)
         if held and done:
             held.life.close()
             self.answer(held, response.completed(message.result))
@@ -337,7 +337,7 @@
                 raise TypeError(f"no action of a req: {act!r}")
 
     def send(self, held: OpenRequest, act: i.SendAttempt, now: float) -> None:
-        row = self.balancer.machines[act.server].row
+        row = self.balancer.servers[act.server].entry
         ends_at = min(now + act.timeout_ms, held.taken.rq.deadline)
         ticket = (row.build, row.started_at, self.cap(row.build))
         number, message = len(held.sent), held.taken.message
@@ -348,7 +348,7 @@
         self.machines[act.server].mailbox.put(StartAttempt(job))
 
     def cap(self, build: int) -> float:
-        return self.balancer.cap(build)[0] if self.balancer.on_trial(build) else float("inf")
+        return self.balancer.exposure_cap(build)[0] if self.balancer.is_on_trial(build) else float("inf")
 
     def stands(self, job: AttemptJob) -> bool:
         """Whether what the list and the news said when the module chose the machine still holds, after all
@@ -357,10 +357,10 @@
         if job.ident not in self.open:
             self.counters.add("sends_stopped_by_leaving")
             return False
-        known = self.balancer.machines.get(job.machine)
+        known = self.balancer.servers.get(job.machine)
         build, started, cap = job.ticket
-        listed = known is not None and self.balancer.listed_open(known, self.clock())
-        if not listed or (known.row.build, known.row.started_at) != (build, started):
+        listed = known is not None and self.balancer.may_send_to(known, self.clock())
+        if not listed or (known.entry.build, known.entry.started_at) != (build, started):
             self.counters.add("sends_stopped_by_list")
             return False
         if self.cap(build) < cap:
@@ -443,7 +443,7 @@
             else e.row
             for e in listing.entries
         ]
-        self.act(self.balancer.listed(i.ServerListUpdate(listing.kind, rows), now), now)
-        for number in [n for n in self.machines if n not in self.balancer.machines]:
+        self.act(self.balancer.update_server_list(i.ServerListUpdate(listing.kind, rows), now), now)
+        for number in [n for n in self.machines if n not in self.balancer.servers]:
             self.machines.pop(number).mailbox.put(ServerRemoved())
             del self.places[number]
--- a/myrtleroad/net/operator_limits.py
+++ b/myrtleroad/net/operator_limits.py
@@ -40,7 +40,7 @@
         return made
 
     def trial_cap(self) -> float | None:
-        news = self.brain.balancer.news
+        news = self.brain.balancer.stage_update
         return news.cap if news.phase == i.RolloutPhase.ON_TRIAL else None
 
     def hold(self, bounds: rules.EffectiveLimits | None) -> None:
--- a/myrtleroad/policy/balancer.py
+++ b/myrtleroad/policy/balancer.py
@@ -24,10 +24,10 @@
 
     def __init__(self, settings: i.Settings, seed: int, now: float):
         self.settings, self.random = settings, Random(seed).random
-        self.machines: dict[int, Server] = {}  # emptied by the list
+        self.servers: dict[int, Server] = {}  # emptied by the list
         self.sides: dict[bool, list[Server]] = {False: [], True: []}  # in service; True: on trial
-        self.judge = TrialTest(settings)
-        self.news = i.StageUpdate(Outcome.COMPLETED, False, 0, 0, RolloutPhase.RELEASED, 0.0, 0.0)
+        self.trial_test = TrialTest(settings)
+        self.stage_update = i.StageUpdate(Outcome.COMPLETED, False, 0, 0, RolloutPhase.RELEASED, 0.0, 0.0)
         self.stage, self.stage_at = 0, now  # as we believe; the cap is as last told
         self.share = [
             0.25 for _ in settings.routes
@@ -41,7 +41,7 @@
         self.done_cost, self.rate, self.rate_at, self.refused_at, self.refusing = 0.0, 0.0, now, -1e9, False
         self.vote, self.vote_at, self.vote_ok, self.next_call = i.Vote(-1, Verdict.NONE, 0), -1e9, False, 0.0
         self.retry_at = 0.0  # after a call that did not count
-        self.most_share = 1.0  # of a trial, that operators allow
+        self.max_trial_share = 1.0  # of a trial, that operators allow
         self.start_clock = StartClock()  # told by a host that follows a watch
         self.lease: ListLease | None = None  # of the list; a host that follows none sets none
         self.lease_held = True  # as last noted in the log
@@ -60,70 +60,85 @@
         self.front_part, self.arrivals = 1 / settings.balancers, 0  # of all reqs; those since the last count
         self.answered: set[str] = set()  # keys the trial build has answered; emptied at each news of phase
 
-    def listed(self, event: i.ServerListUpdate, now: float) -> list[i.Action]:
+    def update_server_list(self, event: i.ServerListUpdate, now: float) -> list[i.Action]:
         if event.kind != i.ListKind.CHANGES:
-            for index in self.machines.keys() - {row.server for row in event.entries}:
-                self.machines[index].row.status = ServerStatus.GONE
+            for index in self.servers.keys() - {row.server for row in event.entries}:
+                self.servers[index].entry.status = ServerStatus.GONE
         for row in event.entries:
-            if row.build > max(self.judge.build, self.news.build) and self.news.build > 0:
-                self.judge.offer(row.build)  # the list may be quicker than the news
-            known = self.machines.get(row.server)
-            if known is None or known.row.started_at != row.started_at or known.row.build != row.build:
-                known = self.machines[row.server] = Server(row, out=known.out if known else {})
-            known.row = row
-        self.machines = {x: m for x, m in self.machines.items() if m.row.status != ServerStatus.GONE or m.out}
+            if (
+                row.build > max(self.trial_test.build, self.stage_update.build)
+                and self.stage_update.build > 0
+            ):
+                self.trial_test.offer(row.build)  # the list may be quicker than the news
+            known = self.servers.get(row.server)
+            if known is None or known.entry.started_at != row.started_at or known.entry.build != row.build:
+                known = self.servers[row.server] = Server(row, in_flight=known.in_flight if known else {})
+            known.entry = row
+        self.servers = {
+            x: m for x, m in self.servers.items() if m.entry.status != ServerStatus.GONE or m.in_flight
+        }
         self.regroup()
         return []
 
-    def narrowed(self, event: i.SettingsNarrowed, now: float) -> None:
+    def narrow_settings(self, event: i.SettingsNarrowed, now: float) -> None:
         """Holds for reqs taken from now on; a lower share binds tries not yet sent too."""
-        self.settings, self.most_share = event.settings, event.max_trial_share
+        self.settings, self.max_trial_share = event.settings, event.max_trial_share
 
     def regroup(self) -> None:
-        live = [m for m in self.machines.values() if m.row.status == ServerStatus.IN_SERVICE]
-        self.sides = {x: [m for m in live if self.on_trial(m.row.build) == x] for x in (False, True)}
-        starts = [m.row.started_at for m in self.machines.values() if m.row.build == self.news.build]
+        live = [m for m in self.servers.values() if m.entry.status == ServerStatus.IN_SERVICE]
+        self.sides = {x: [m for m in live if self.is_on_trial(m.entry.build) == x] for x in (False, True)}
+        starts = [
+            m.entry.started_at for m in self.servers.values() if m.entry.build == self.stage_update.build
+        ]
         newest = max(starts, default=0.0)
         self.newest = newest - self.start_clock.offset_ms() if newest > 0 else 0.0
         self.steps = {x: list(accumulate(self.size(m) for m in side)) for x, side in self.sides.items()}
-        self.young = {x: [m for m in side if m.row.started_at > 0] for x, side in self.sides.items()}
+        self.young = {x: [m for m in side if m.entry.started_at > 0] for x, side in self.sides.items()}
         self.mean_size = sum(map(self.size, live)) / max(1, len(live))
-        self.open = sum(len(m.out) for m in self.machines.values() if not self.apart(m))
+        self.open = sum(len(m.in_flight) for m in self.servers.values() if not self.apart(m))
 
-    def stage_news(self, event: i.StageUpdate, now: float) -> list[i.Action]:
+    def update_stage(self, event: i.StageUpdate, now: float) -> list[i.Action]:
         if event.answers_vote:
             self.vote_ok = event.outcome in (Outcome.COMPLETED, Outcome.TIMEOUT)  # a timeout may count
-            if event.outcome == Outcome.MOOT and self.vote == i.Vote(self.news.build, Verdict.ON, self.stage):
+            if event.outcome == Outcome.MOOT and self.vote == i.Vote(
+                self.stage_update.build, Verdict.ON, self.stage
+            ):
                 # Guards against late news: the stage we knew is over, and it had lasted its time.
-                self.stage = min(self.stage + 1, self.judge.last)
-                self.stage_at = min(now, max(self.stage_at, self.newest) + self.judge.stage_age)
+                self.stage = min(self.stage + 1, self.trial_test.last)
+                self.stage_at = min(now, max(self.stage_at, self.newest) + self.trial_test.stage_age)
         if event.outcome != Outcome.COMPLETED:
             self.retry_at = self.next_call = now + 500 + 1000 * self.random()
-        if event.outcome != Outcome.COMPLETED or event.build < self.news.build:
+        if event.outcome != Outcome.COMPLETED or event.build < self.stage_update.build:
             return []
-        if event.build > self.judge.build and event.phase == RolloutPhase.ON_TRIAL:
-            self.judge.offer(event.build)
-        if event.build != self.news.build or event.phase in (RolloutPhase.GOING_BACK, RolloutPhase.WITHDRAWN):
+        if event.build > self.trial_test.build and event.phase == RolloutPhase.ON_TRIAL:
+            self.trial_test.offer(event.build)
+        if event.build != self.stage_update.build or event.phase in (
+            RolloutPhase.GOING_BACK,
+            RolloutPhase.WITHDRAWN,
+        ):
             self.answered.clear()
-        if event.stage >= self.stage or (event.build, event.phase) != (self.news.build, self.news.phase):
+        if event.stage >= self.stage or (event.build, event.phase) != (
+            self.stage_update.build,
+            self.stage_update.phase,
+        ):
             self.stage, self.stage_at = event.stage, now - event.stage_age_ms
-        self.news = event
+        self.stage_update = event
         self.regroup()
         return []
 
-    def on_trial(self, build: int) -> bool:
-        new, phase = self.news.build, self.news.phase
+    def is_on_trial(self, build: int) -> bool:
+        new, phase = self.stage_update.build, self.stage_update.phase
         return build > new or (build == new and phase != RolloutPhase.RELEASED)
 
-    def cap(self, build: int) -> tuple[float, int]:
-        if build > self.news.build:
-            return min(self.settings.rollout.stage_caps[0], self.most_share), 0
-        cap = self.news.cap if self.news.phase == RolloutPhase.ON_TRIAL else 0.0
-        return min(cap, self.most_share), self.news.stage
+    def exposure_cap(self, build: int) -> tuple[float, int]:
+        if build > self.stage_update.build:
+            return min(self.settings.rollout.stage_caps[0], self.max_trial_share), 0
+        cap = self.stage_update.cap if self.stage_update.phase == RolloutPhase.ON_TRIAL else 0.0
+        return min(cap, self.max_trial_share), self.stage_update.stage
 
     def exposure_room(self, rq: i.Request, build: int, now: float) -> bool:
         roll = self.settings.rollout
-        cap, stage = self.cap(build)
+        cap, stage = self.exposure_cap(build)
         retriable = self.settings.routes[rq.route].retry_safety == RetrySafety.RETRIABLE
         if cap <= 0 or (stage < roll.retriable_only_stages and not retriable):
             return False
@@ -147,18 +162,21 @@
         self.adapt()
         if (self.refused_at > now - 1000) != self.refusing:
             self.refusing = not self.refusing
-            word, rest = "began" if self.refusing else "ended", self.resting(self.machines.values(), now)
+            word, rest = "began" if self.refusing else "ended", self.resting(self.servers.values(), now)
             actions.append(
                 i.LogMessage(f"refusing {word}: open limit {self.limit:.1f}, {rest} machines rest")
             )
         actions += self.note_lease(now)
-        news = self.news
-        if news.phase not in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED) or news.build != self.judge.build:
+        news = self.stage_update
+        if (
+            news.phase not in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED)
+            or news.build != self.trial_test.build
+        ):
             return actions
         released = news.phase == RolloutPhase.RELEASED
         age = now - self.stage_at if released else self.stage_age(now)
         laden = self.refusing and self.settings.load_column is not None  # reports tell load from slowness
-        verdict, why = self.judge.judge(self.stage, age, released, laden)
+        verdict, why = self.trial_test.judge(self.stage, age, released, laden)
         if why:
             actions.append(i.LogMessage(f"build {news.build} stage {self.stage}: {verdict.name} ({why})"))
         clock = (
@@ -175,9 +193,9 @@
         self.lease_held = holds
         if holds:
             return [i.LogMessage("list lease holds again")]
-        shown = sum(self.listed_open(m, now) for m in self.machines.values())
+        shown = sum(self.may_send_to(m, now) for m in self.servers.values())
         return [
-            i.LogMessage(f"list lease expired: {shown} of {len(self.machines)} servers have shown they serve")
+            i.LogMessage(f"list lease expired: {shown} of {len(self.servers)} servers have shown they serve")
         ]
 
     def stage_age(self, now: float) -> float:
@@ -195,7 +213,7 @@
 
     def learn_rate(self, now: float) -> None:
         size = sum(
-            self.warmth(m, now) for m in self.machines.values() if m.row.status == ServerStatus.IN_SERVICE
+            self.warmth(m, now) for m in self.servers.values() if m.entry.status == ServerStatus.IN_SERVICE
         )
         gain, rate = 0.2 if self.rate else 1.0, self.done_cost / (now - self.rate_at) / max(size, 1.0)
         self.rate += gain * (rate - self.rate)
@@ -218,7 +236,11 @@
 
     def age(self, m: Server, now: float) -> float:
         """How long ago a machine started; inf for long ago."""
-        return now + self.start_clock.offset_ms() - m.row.started_at if m.row.started_at > 0 else float("inf")
+        return (
+            now + self.start_clock.offset_ms() - m.entry.started_at
+            if m.entry.started_at > 0
+            else float("inf")
+        )
 
     def cold_room(self, m: Server, cost: float, now: float) -> bool:
         """Guards a cold machine: our share of multiple x (low) capacity x window, in whole tries by luck."""
@@ -248,9 +270,9 @@
         lucky = m.luck_until < 1e18 and not m.sent and m.luck * cost < part < cost
         return lucky and m.ejected_until <= now
 
-    def observe(self, ident: int, ended: i.AttemptEnded, now: float) -> None:
-        m = self.machines.get(ended.server)
-        gone = m.out.pop((ident, ended.attempt_number), None) if m else None
+    def record_outcome(self, ident: int, ended: i.AttemptEnded, now: float) -> None:
+        m = self.servers.get(ended.server)
+        gone = m.in_flight.pop((ident, ended.attempt_number), None) if m else None
         if m is None or gone is None:
             return
         r, apart, done = gone.route, self.apart(m), ended.outcome == Outcome.COMPLETED
@@ -260,14 +282,14 @@
         )
         self.open -= not apart
         if ended.reported_load is not None:
-            beyond = ended.reported_load - len(m.out)
+            beyond = ended.reported_load - len(m.in_flight)
             m.others += 0.1 * (beyond - m.others)
             self.level += 0.05 * (beyond / (self.size(m) * self.warmth(m, now)) - self.level)
         if ended.outcome == Outcome.TIMEOUT and share < 0.9:
             return  # the client's own patience was short: nothing is known of machine, build or queue
         if done:
             self.done_cost += gone.cost
-            if gone.key and self.settings.rollout.forbids_downgrade and self.on_trial(m.row.build):
+            if gone.key and self.settings.rollout.forbids_downgrade and self.is_on_trial(m.entry.build):
                 self.answered.add(gone.key)
             seen = ended.duration_ms / self.usual[r] / gone.met * self.usual_met
             m.took = max(m.took, gone.sent)
@@ -293,20 +315,22 @@
             self.eject(m, now, refused)
         if gone.judged and not self.slow(r) and (done or (failed and ended.outcome != Outcome.FULL)):
             score = ended.duration_ms if done else route.timeout_ms
-            self.judge.take(m.row.build, r, score, gone.met, done, self.on_trial(m.row.build), now)
+            self.trial_test.take(
+                m.entry.build, r, score, gone.met, done, self.is_on_trial(m.entry.build), now
+            )
 
-    def tally(self, event: i.AttemptCounts, now: float) -> None:
+    def record_counts(self, event: i.AttemptCounts, now: float) -> None:
         if event.attempts > 0:
-            self.judge.count(event)
+            self.trial_test.count(event)
 
-    def flagged(self, event: i.BadResponseReported, now: float) -> None:
-        if m := self.machines.get(event.server):
-            score, on_trial = self.settings.routes[event.route].timeout_ms, self.on_trial(m.row.build)
-            self.judge.take(m.row.build, event.route, score, 2.0, False, on_trial, now)
+    def record_bad_response(self, event: i.BadResponseReported, now: float) -> None:
+        if m := self.servers.get(event.server):
+            score, on_trial = self.settings.routes[event.route].timeout_ms, self.is_on_trial(m.entry.build)
+            self.trial_test.take(m.entry.build, event.route, score, 2.0, False, on_trial, now)
 
     def eject(self, m: Server, now: float, refused: bool) -> None:
         # Guards against sick machines and bad links; what all share ejects none, two fifths stay in use.
-        peers = self.sides[self.on_trial(m.row.build)]
+        peers = self.sides[self.is_on_trial(m.entry.build)]
         level = sorted(p.failing for p in peers)[len(peers) // 4] if peers else 1.0
         if refused or (m.failing > 0.45 + level and 5 * self.resting(peers, now) < 3 * len(peers)):
             m.ejected_until = now + 2000 + 1000 * self.random()
@@ -320,7 +344,7 @@
         return sum(m.ejected_until > now for m in machines)
 
     def size(self, m: Server) -> float:
-        return max(m.row.weight, 0.1)
+        return max(m.entry.weight, 0.1)
 
     def expected(self, m: Server, now: float) -> float:
         """Expected completion here in units of the usual latency; a silent machine counts as slow."""
@@ -329,52 +353,52 @@
         usual = max(0.0, self.level) * size
         m.others = usual + (m.others - usual) * 0.93**ticks  # what is not seen fades
         m.known, m.pace = m.known * 0.99**ticks, (pace := 1 + (m.pace - 1) * 0.99**ticks)
-        if m.out:
-            oldest = next(iter(m.out.values()))
+        if m.in_flight:
+            oldest = next(iter(m.in_flight.values()))
             pace = max(pace, (now - max(oldest.sent, m.linked)) / self.usual[oldest.route] / 2)
         if now - m.linked > 2000:  # a front that is refused connections stays with those it has
             pace *= 1 + 20 * self.squeeze
-        pace *= (1 + m.failing) * (1.15 if m.row.zone != self.settings.zone else 1.0)  # crossing is priced
+        pace *= (1 + m.failing) * (1.15 if m.entry.zone != self.settings.zone else 1.0)  # crossing is priced
         # So is a new connection: one that carries a try is not free, and an idle one goes in good time.
-        new = bool(m.out) or now - m.took > 0.8 * self.settings.idle_timeout_ms
+        new = bool(m.in_flight) or now - m.took > 0.8 * self.settings.idle_timeout_ms
         pace *= 1 + self.settings.handshake_cost * new
         # One req more counts as on a machine of the mean size: a large one all fronts prefer has no room.
         one = self.size(m) / self.mean_size
-        return (len(m.out) + max(0.0, m.others) + one) * pace / size
+        return (len(m.in_flight) + max(0.0, m.others) + one) * pace / size
 
     SAMPLE = 12  # machines ranked at most: bounds the work, and fronts alike do not all find the same one
 
-    def best(self, side: bool, rq: i.Request, now: float, past: Past) -> Server | None:
+    def best_server(self, side: bool, rq: i.Request, now: float, past: Past) -> Server | None:
         """The best of a few drawn machines; of all, resting and tried ones too, where none of these may."""
         pool = few = self.sides[side]
         if len(pool) > self.SAMPLE:
             # Drawn by size and warmth, so that fronts that know nothing load all machines alike.
             steps = self.steps[side]
             few = [pool[bisect(steps, self.random() * steps[-1])] for _ in range(self.SAMPLE)]
-            few = [m for m in few if m.row.started_at <= 0 or self.random() < self.warmth(m, now)]
+            few = [m for m in few if m.entry.started_at <= 0 or self.random() < self.warmth(m, now)]
             self.young[side] = young = [m for m in self.young[side] if self.warmth(m, now) < 1]
             owed = (m for m in young if self.owed(m, self.usual[rq.route], now))
-            if m := next((m for m in owed if self.may_take(m, rq, now, past)), None):
+            if m := next((m for m in owed if self.may_attempt(m, rq, now, past)), None):
                 return m
         few = [m for m in few if m.ejected_until <= now and all(m is not p for p, _, _ in past)]
-        fit = [m for m in few if self.may_take(m, rq, now, past)]
-        fit = fit or [m for m in pool if self.may_take(m, rq, now, past)]
+        fit = [m for m in few if self.may_attempt(m, rq, now, past)]
+        fit = fit or [m for m in pool if self.may_attempt(m, rq, now, past)]
         return min(fit, key=lambda m: self.expected(m, now) * (1 + 0.05 * self.random()), default=None)
 
-    def listed_open(self, m: Server, now: float) -> bool:
+    def may_send_to(self, m: Server, now: float) -> bool:
         """Whether a machine may be sent something new, by the list and by how old it is."""
-        if m.row.status != ServerStatus.IN_SERVICE:
+        if m.entry.status != ServerStatus.IN_SERVICE:
             return False
         return self.lease is None or self.lease.allows_sending(now, m.served_at)
 
-    def pick(self, rq: i.Request, now: float, past: Past) -> Server | None:
+    def choose_server(self, rq: i.Request, now: float, past: Past) -> Server | None:
         """The machine for the next try: the build on trial while under 0.8 of its cap, else the earlier."""
-        if self.credit >= 1 and not self.slow(rq.route) and (cand := self.best(True, rq, now, past)):
+        if self.credit >= 1 and not self.slow(rq.route) and (cand := self.best_server(True, rq, now, past)):
             usual, fronts = self.sides[False], self.settings.balancers  # they are taken to send alike
-            peers = 1 + fronts * sum(len(m.out) for m in usual) / max(1, len(usual))
-            if not usual or fronts * len(cand.out) <= self.PUSH * self.warmth(cand, now) * peers:
+            peers = 1 + fronts * sum(len(m.in_flight) for m in usual) / max(1, len(usual))
+            if not usual or fronts * len(cand.in_flight) <= self.PUSH * self.warmth(cand, now) * peers:
                 return cand
-        return self.best(False, rq, now, past) or self.best(True, rq, now, past)
+        return self.best_server(False, rq, now, past) or self.best_server(True, rq, now, past)
 
     PART, PUSH = 1.35, 1.3  # bounds on tries over part of the fleet, on load over peers': docs/design.md
 
@@ -388,15 +412,17 @@
         # Counts, where there are any, judge at twice the slowness and want the tries.
         calm = 1.0 if self.settings.rollout.counts_interval_ms else max(0.0, 1 - self.strain / self.TARGET)
         part = 1 + (self.PART - 1) * calm
-        self.part = min(0.8 * self.cap(self.sides[True][-1].row.build)[0], part * size[1] / sum(size))
+        self.part = min(
+            0.8 * self.exposure_cap(self.sides[True][-1].entry.build)[0], part * size[1] / sum(size)
+        )
 
-    def may_take(self, m: Server, rq: i.Request, now: float, past: Past) -> bool:
-        if not self.listed_open(m, now) or not self.cold_room(m, self.usual[rq.route], now):
+    def may_attempt(self, m: Server, rq: i.Request, now: float, past: Past) -> bool:
+        if not self.may_send_to(m, now) or not self.cold_room(m, self.usual[rq.route], now):
             return False
-        if self.on_trial(m.row.build):
-            if not self.exposure_room(rq, m.row.build, now):
+        if self.is_on_trial(m.entry.build):
+            if not self.exposure_room(rq, m.entry.build, now):
                 return False
-        elif m.row.build < self.news.build and rq.dedup_key in self.answered:
+        elif m.entry.build < self.stage_update.build and rq.dedup_key in self.answered:
             return False
         route, ran = self.settings.routes[rq.route], [p for p in past if p[2]]
         if not ran or route.retry_safety == RetrySafety.RETRIABLE:
@@ -407,9 +433,9 @@
             or now - t.sent >= route.dedup_window_ms - self.TICK
         ):
             return False
-        return (True, first.row.zone == m.row.zone, first.row.cell == m.row.cell)[route.dedup_scope]
+        return (True, first.entry.zone == m.entry.zone, first.entry.cell == m.entry.cell)[route.dedup_scope]
 
-    def refuse(self, rq: i.Request, past: Past) -> i.Shed | i.Fail:
+    def shed_or_fail(self, rq: i.Request, past: Past) -> i.Shed | i.Fail:
         route = self.settings.routes[rq.route]
         deduped = route.retry_safety == RetrySafety.DEDUPED and route.dedup_scope == i.DedupScope.ALL
         if any(ran for _, _, ran in past) and not (deduped or route.retry_safety == RetrySafety.RETRIABLE):
@@ -449,7 +475,7 @@
 
     def apart(self, m: Server) -> bool:
         """Whether a machine is on trial beside a fleet that is not: its hanging must not close the door."""
-        return self.on_trial(m.row.build) and len(self.sides[True]) < len(self.sides[False])
+        return self.is_on_trial(m.entry.build) and len(self.sides[True]) < len(self.sides[False])
 
     def adapt(self) -> None:
         """Once a tick: fewer open tries while answers come late, more while the limit binds."""
@@ -464,7 +490,7 @@
             # to a small front is no jam, and a clump no overload.
             cut = 1 - 0.15 * min(1.0, strain / self.TARGET - 1) * min(1.0, self.SHARE_GAIN * self.fresh)
             few = self.by_chance(
-                2 * len(self.machines) / self.settings.balancers
+                2 * len(self.servers) / self.settings.balancers
             )  # two a machine from all fronts
             self.limit = max(few, cut * min(self.limit, max(1.5 * out, self.by_chance(self.mean_open))))
         elif out > 0.6 * self.limit:
@@ -475,7 +501,7 @@
         """Most tries open where so many are on average and nothing is wrong: two Poisson deviations over."""
         return mean + 2 * sqrt(mean)
 
-    def serve(
+    def serve_request(
         self, rq: i.Request, now: float
     ) -> Generator[i.Action, tuple[float, i.AttemptEnded | None], None]:
         self.taken[rq.route if self.settings.rollout.cap_per_route else 0].append(now)
@@ -486,35 +512,37 @@
             self.credit = min(2.0, self.credit + self.part)
         if full:
             self.refused_at = now
-            yield self.refuse(rq, [])
+            yield self.shed_or_fail(rq, [])
             return
         route = self.settings.routes[rq.route]
         # So that retries cannot make an overload worse.
         self.spare_tries = min(self.spare_tries + min(0.1, route.retry_budget), 20.0)
         past, cost = Past(), 0.0
         for number in range(min(self.settings.max_attempts, route.max_attempts)):
-            m = self.pick(rq, now, past)
+            m = self.choose_server(rq, now, past)
             if m is None or rq.deadline - now < 1 or self.spare_tries < cost:
                 break
             self.spare_tries -= cost
             t = self.sent(rq, m, number, now)
-            now, ended = yield i.SendAttempt(m.row.server, rq.deadline - now)
+            now, ended = yield i.SendAttempt(m.entry.server, rq.deadline - now)
             past.append((m, t, ended.outcome not in i.NOT_EXECUTED))
             cost = float(
                 ended.outcome not in (Outcome.NOT_CONNECTED, Outcome.MOOT)
             )  # which cost the machine little
-        yield self.refuse(rq, past)
+        yield self.shed_or_fail(rq, past)
 
     def sent(self, rq: i.Request, m: Server, number: int, now: float) -> Attempt:
         # Exception: where the told warm-up outlasts 3 s, a cold machine makes a good build look slow.
         judged = self.age(m, now) >= max(TrialTest.YOUNG, self.settings.server_rules.slow_start_ms)
-        met = len(m.out) + max(0.0, m.others) + 2
+        met = len(m.in_flight) + max(0.0, m.others) + 2
         self.usual_met += 0.02 * (met - self.usual_met)
-        t = m.out[rq.id, number] = Attempt(rq.route, now, self.usual[rq.route], judged, rq.dedup_key, met)
+        t = m.in_flight[rq.id, number] = Attempt(
+            rq.route, now, self.usual[rq.route], judged, rq.dedup_key, met
+        )
         self.open += not self.apart(m)
         if self.warmth(m, now) < 1:
             m.sent.append((now, t.cost))
-        if self.on_trial(m.row.build):
+        if self.is_on_trial(m.entry.build):
             self.trial_sent[rq.route if self.settings.rollout.cap_per_route else 0].append(now)
             self.credit = max(0.0, self.credit - 1)
         return t
--- a/myrtleroad/policy/state.py
+++ b/myrtleroad/policy/state.py
@@ -18,10 +18,12 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    row: i.ServerEntry
+    entry: i.ServerEntry
     luck: float = 0.0  # drawn anew each window: which fronts may send a cold machine the last part of a try
     luck_until: float = -1e9
-    out: dict[tuple[int, int], Attempt] = field(default_factory=dict)  # emptied by each try's one ending
+    in_flight: dict[tuple[int, int], Attempt] = field(
+        default_factory=dict
+    )  # emptied by each try's one ending
     others: float = 0.0  # load reported beyond our own
     pace: float = 1.0  # our latencies here over the usual ones of their routes
     known: float = 0.0  # completed tries behind that
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 from myrtleroad.policy.balancer import Balancer
 
 
-def build_facts(**changes):
+def build_settings(**changes):
     roll = dict(
         vote_mode=i.VoteMode.COUNT,
         votes_to_advance=1,
@@ -53,15 +53,15 @@
     return i.Settings(**values)
 
 
-def row(machine, build=1, zone=0, started=0.0, status=i.ServerStatus.IN_SERVICE):
+def build_entry(machine, build=1, zone=0, started=0.0, status=i.ServerStatus.IN_SERVICE):
     return i.ServerEntry(machine, status, build, zone, 0, 0, 1.0, started)
 
 
-def req(ident=1, route=0, ends_at=2000.0, key=None):
+def build_request(ident=1, route=0, ends_at=2000.0, key=None):
     return i.Request(ident, route, None, key, ends_at, 0.0, False)
 
 
-def news(
+def build_stage_update(
     build=1, stage=0, phase=i.RolloutPhase.RELEASED, cap=0.0, age=0.0, end=i.Outcome.COMPLETED, answers=False
 ):
     return i.StageUpdate(end, answers, build, stage, phase, cap, age)
@@ -70,15 +70,17 @@
 @pytest.fixture
 def balancer():
     """A balancer at time 0 with three machines of build 1, released."""
-    b = Balancer(build_facts(), 7, 0.0)
-    b.stage_news(news(), 0.0)
-    b.listed(i.ServerListUpdate(i.ListKind.WHOLE, [row(0), row(1), row(2, zone=1)]), 0.0)
+    b = Balancer(build_settings(), 7, 0.0)
+    b.update_stage(build_stage_update(), 0.0)
+    b.update_server_list(
+        i.ServerListUpdate(i.ListKind.WHOLE, [build_entry(0), build_entry(1), build_entry(2, zone=1)]), 0.0
+    )
     return b
 
 
 # --- the front on sockets ---
 
-SETTINGS = {
+SETTINGS_JSON = {
     "balancers": 1,
     "zone": 0,
     "zones": ["here", "there"],
@@ -107,10 +109,10 @@
     "registry_mode": "on_request",
     "report": {"columns": ["active"]},
 }
-NEWS = {"Revision": 1, "Wave": 0, "State": "released", "MaxShare": 0.0, "AgeMs": 9000}
+STAGE_FIELDS = {"Revision": 1, "Wave": 0, "State": "released", "MaxShare": 0.0, "AgeMs": 9000}
 
 
-def listed(word, at, **changes):
+def discovery_entry(word, at, **changes):
     return {
         "instanceId": word,
         "hostPort": f"{at[0]}:{at[1]}",
@@ -124,9 +126,9 @@
     } | changes
 
 
-def news_line(**changes):
+def stage_event(**changes):
     """The platform's event of what it has to tell."""
-    fields = "&".join(f"{name}={value}" for name, value in (NEWS | changes).items())
+    fields = "&".join(f"{name}={value}" for name, value in (STAGE_FIELDS | changes).items())
     return f"event: progress\ndata: {fields}\n\n".encode()
 
 
@@ -137,13 +139,13 @@
         "discovery": f"{discovery[0]}:{discovery[1]}",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "platform": {"address": f"{platform[0]}:{platform[1]}", "news": NEWS},
+        "platform": {"address": f"{platform[0]}:{platform[1]}", "news": STAGE_FIELDS},
         "known": {"generation": 7, "reset": True, "instances": list(machines)},
-        "settings": SETTINGS,
+        "settings": SETTINGS_JSON,
     } | changes
 
 
-def build_told(*machines, **changes):
+def build_node_config(*machines, **changes):
     return node_config.decode_node_config(orjson.dumps(build_config(machines, **changes)))
 
 
@@ -157,7 +159,7 @@
         return False
 
 
-silent = Silent()
+null_log = Silent()
 
 
 class Peer:
@@ -167,15 +169,15 @@
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen()
-        self.at = self.sock.getsockname()
+        self.address = self.sock.getsockname()
         self.talks = list(talks)
-        self.met = 0
+        self.connections = 0
         gevent.spawn(self.run)
 
     def run(self):
         for talk in self.talks:
             sock, _ = self.sock.accept()
-            self.met += 1
+            self.connections += 1
             gevent.spawn(self.serve, talk, sock)
 
     def serve(self, talk, sock):
@@ -183,7 +185,7 @@
         sock.close()
 
 
-def read_req(sock):
+def read_request(sock):
     """One whole req, head and body."""
     got = b""
     while b"\r\n\r\n" not in got:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,7 +1,7 @@
 """Any order of arrivals, waits, endings, leavings, faults and time: one answer a req, sums that add up."""
 
 import pytest
-from conftest import build_told, listed, silent
+from conftest import build_node_config, discovery_entry, null_log
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
@@ -29,8 +29,8 @@
     def __init__(self):
         super().__init__()
         self.now = 1_000_000.0
-        told = build_told(*(listed(f"s-{n}", ("127.0.0.1", 9)) for n in range(3)))
-        self.b = dispatcher.Dispatcher(told, lambda: self.now, Counters(), silent)
+        told = build_node_config(*(discovery_entry(f"s-{n}", ("127.0.0.1", 9)) for n in range(3)))
+        self.b = dispatcher.Dispatcher(told, lambda: self.now, Counters(), null_log)
         self.b.start()
         self.ends_at, self.answers, self.left = {}, {}, set()
         self.waiting, self.out, self.ran = [], [], {}
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -4,7 +4,7 @@
 
 import gevent
 import pytest
-from conftest import build_told, listed
+from conftest import build_node_config, discovery_entry
 from test_door import GOOD, build_door, client, status
 from test_front import AT, balanced, build_brain, ends, sent, taken
 
@@ -28,7 +28,7 @@
 
 def test_endings_of_tries_are_not_behind_reqs_that_wait(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     answers = taken(b, 1)
     (job,) = sent(b)
     flood(b, 5000)
@@ -43,7 +43,7 @@
 
 
 def test_a_try_that_an_actor_cannot_begin_has_its_ending(monkeypatch):
-    got, told = [], build_told(listed("s-1", AT))
+    got, told = [], build_node_config(discovery_entry("s-1", AT))
     m = upstream_server.UpstreamServer(
         AT, told, Clock(), Counters(), upstream_server.ConnectionBudget(9), got.append, lambda job: True
     )
@@ -67,7 +67,7 @@
 
 def test_answers_after_their_time_are_named_in_the_log_by_id_a_few_a_second():
     lines = []
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     start = b.clock()
     b.overdue = RateLimitedWarnings(
         lambda event, **fields: lines.append((fields["txn"], fields.get("left_out"))), 2
@@ -154,7 +154,7 @@
 
 
 def test_a_hundred_and_fifty_of_1024_machines_gone_in_one_line_lose_no_req():
-    entries = [listed(f"s-{n}", AT) for n in range(1024)]
+    entries = [discovery_entry(f"s-{n}", AT) for n in range(1024)]
     b = build_brain(*entries)
     answers = [taken(b, n) for n in range(1, 301)]
     jobs = handed(b)
--- a/tests/test_answers_faults.py
+++ b/tests/test_answers_faults.py
@@ -2,7 +2,7 @@
 
 import gevent
 import pytest
-from conftest import listed
+from conftest import discovery_entry
 from gevent import socket
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 
 
 def test_a_req_that_nothing_ends_is_answered_as_failed_at_its_time():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     answers, others = taken(b, 1, within=20.0), taken(b, 2, within=900.0)
     b.expire(b.clock())
     assert not answers
@@ -32,7 +32,7 @@
 
 def test_a_mailbox_worked_off_lets_others_have_their_turn(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     flood(b, 500)
     runs = gevent.spawn(b.run)
     turns = 0
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("end", [i.Outcome.COMPLETED, i.Outcome.RESET])
 def test_a_fault_at_an_ending_answers_its_req_at_once_and_no_other(monkeypatch, end):
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     answers, others = taken(b, 1), taken(b, 2)
     job, _ = sent(b)
     monkeypatch.setattr(b, "load", lambda message: 1 / 0)
@@ -61,7 +61,7 @@
 
 
 def test_a_fault_as_a_req_is_taken_answers_it_at_once(monkeypatch):
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     monkeypatch.setattr(b, "late_by", lambda *args: 1 / 0)
     answers = []
     rq, message = (
@@ -129,7 +129,7 @@
 
 
 def test_a_req_that_waited_in_our_own_mailbox_is_refused_before_the_module_sees_it(monkeypatch):
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     answers = []
     rq, message = (
         i.Request(1, 0, 0, None, b.clock() + 30.0, 0.0, False),
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,6 +1,6 @@
 import gevent
 import pytest
-from conftest import build_told, read_req, silent
+from conftest import build_node_config, null_log, read_request
 from gevent import socket
 from gevent.queue import SimpleQueue
 
@@ -16,8 +16,8 @@
 
 def build_door(is_ready=True, sockets=1024):
     taken = SimpleQueue()
-    told = build_told(limits={"sockets": sockets})
-    d = client_listener.ClientListener(told, Clock(), Counters(), silent, taken.put, lambda: is_ready)
+    told = build_node_config(limits={"sockets": sockets})
+    d = client_listener.ClientListener(told, Clock(), Counters(), null_log, taken.put, lambda: is_ready)
     gevent.spawn(d.run)
     return d, taken
 
@@ -27,7 +27,7 @@
 
 
 def status(sock):
-    head, body = read_req(sock)
+    head, body = read_request(sock)
     return int(head.split()[1]), head, body
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -6,7 +6,7 @@
 import gevent
 import orjson
 import pytest
-from conftest import Peer, build_config, build_told, listed, read_req, silent
+from conftest import Peer, build_config, build_node_config, discovery_entry, null_log, read_request
 from gevent import socket
 from gevent.event import Event
 from gevent.queue import SimpleQueue
@@ -29,7 +29,7 @@
 
 def build_brain(*entries):
     """A module with these machines, whose actors do not run: what they are sent stays in their mailboxes."""
-    b = dispatcher.Dispatcher(build_told(*entries), Clock(), Counters(), silent)
+    b = dispatcher.Dispatcher(build_node_config(*entries), Clock(), Counters(), null_log)
     b.start()
     return b
 
@@ -52,7 +52,7 @@
 
 
 def change(**changes):
-    m = {"generation": 8, "reset": False, "instances": [listed("s-1", AT, **changes)]}
+    m = {"generation": 8, "reset": False, "instances": [discovery_entry("s-1", AT, **changes)]}
     return server_listing(m, {"here": 0}, {"small": 0})
 
 
@@ -61,7 +61,7 @@
 
 
 def test_a_completed_try_answers_its_req_with_the_machines_body():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     answers = taken(b)
     (job,) = sent(b)
     assert not answers and balanced(b)
@@ -71,7 +71,7 @@
 
 
 def test_tries_of_a_req_are_numbered_and_its_end_is_never_passed():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     taken(b)
     (first,) = sent(b)
     ends(
@@ -86,20 +86,20 @@
 
 
 def test_a_client_that_left_is_owed_nothing_and_its_try_still_tells():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     answers = taken(b)
     (job,) = sent(b)
     b.take(dispatcher.ClientGone(1), b.clock())
     assert balanced(b) and not b.open
-    (known,) = b.balancer.machines.values()
-    assert known.out
+    (known,) = b.balancer.servers.values()
+    assert known.in_flight
     ends(b, job, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
-    assert not answers and not known.out and balanced(b)
+    assert not answers and not known.in_flight and balanced(b)
 
 
 def test_a_fault_of_the_module_ends_one_req_and_the_front_goes_on(monkeypatch):
-    b = build_brain(listed("s-1", AT))
-    monkeypatch.setattr(b.balancer, "best", lambda *args: 1 / 0)
+    b = build_brain(discovery_entry("s-1", AT))
+    monkeypatch.setattr(b.balancer, "best_server", lambda *args: 1 / 0)
     assert [a.status for a in taken(b, 1)] == [502]
     monkeypatch.undo()
     taken(b, 2)
@@ -118,8 +118,8 @@
         got = yield i.SendAttempt(0, 900.0, 50.0)
         yield i.Shed(float(got[1] is None))
 
-    b = build_brain(listed("s-1", AT))
-    monkeypatch.setattr(b.balancer, "serve", waits)
+    b = build_brain(discovery_entry("s-1", AT))
+    monkeypatch.setattr(b.balancer, "serve_request", waits)
     early, late = taken(b, 1), taken(b, 2)
     (job, _) = sent(b)
     ends(b, job, ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED), i.Outcome.RESET)
@@ -131,7 +131,7 @@
     "what", [{"lifecycle": "terminating"}, {"startedAtMs": 5}, {"version_no": 2}, {"lifecycle": "terminated"}]
 )
 def test_what_the_list_changed_before_the_write_forbids_it(what):
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     taken(b)
     (job,) = sent(b)
     assert b.stands(job)
@@ -140,7 +140,7 @@
 
 
 def test_a_cap_that_fell_before_the_write_forbids_it():
-    b = build_brain(listed("s-1", AT, version_no=2))
+    b = build_brain(discovery_entry("s-1", AT, version_no=2))
     news = i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.ON_TRIAL, 1.0, 0.0)
     b.take(news, b.clock())
     taken(b)
@@ -151,7 +151,7 @@
 
 
 def test_machines_leave_and_move_with_the_list():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     (actor,) = b.machines.values()
     b.take(change(hostPort="127.0.0.1:10"), b.clock())
     assert actor.mailbox.get() == upstream_server.ServerAddressChanged(("127.0.0.1", 10))
@@ -204,7 +204,7 @@
 
 
 def test_a_second_copy_of_an_answer_is_not_sent():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     answers = taken(b)
     held = b.open[1]
     b.answer(held, response.bad_gateway())
@@ -213,7 +213,7 @@
 
 
 def test_the_id_of_an_open_req_or_try_is_refused_and_free_again_after_it():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     first = taken(b, 1, word=b"same")
     assert [a.status for a in taken(b, 2, word=b"same")] == [409]
     (job,) = sent(b)
@@ -224,7 +224,7 @@
 
 
 def test_an_attempt_that_waited_for_its_connection_is_written_after_its_client_has_left():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     taken(b)
     (job,) = sent(b)
     assert b.stands(job)
@@ -238,19 +238,19 @@
     stays = Event()
 
     def discovery(sock):
-        read_req(sock)
+        read_request(sock)
         line = orjson.dumps({"generation": 8, "reset": True, "instances": [entry]}) + b"\n"
         sock.sendall(chunk % (len(line), line))
         stays.wait()
 
     def platform(sock):
-        read_req(sock)
+        read_request(sock)
         event = b"event: progress\ndata: Revision=1&Wave=0&State=released&MaxShare=0&AgeMs=1\n\n"
         sock.sendall(chunk % (len(event), event))
         stays.wait()
 
-    entry = listed("s-1", Peer(*[machine_talk] * times).at)
-    start = build_told(entry, discovery=Peer(discovery).at, platform=Peer(platform).at)
+    entry = discovery_entry("s-1", Peer(*[machine_talk] * times).address)
+    start = build_node_config(entry, discovery=Peer(discovery).address, platform=Peer(platform).address)
     reader, writer = os.pipe()
     program = front.Front(start, writer)
     running = gevent.spawn(program.run)
@@ -262,7 +262,7 @@
 def test_a_new_configuration_moves_discovery_and_platform_and_an_unclear_one_nothing(monkeypatch, tmp_path):
     file, lines = tmp_path / "config.json", []
     monkeypatch.setenv("NODE_CONFIG", str(file))
-    program = front.Front(build_told(), os.open(os.devnull, os.O_WRONLY))
+    program = front.Front(build_node_config(), os.open(os.devnull, os.O_WRONLY))
     program.log = lambda event, **fields: lines.append((event, fields))
     moved = [actor.mailbox for actor in (program.roster, program.bulletin, program.desk)]
     for text in (b"", b'{"listen":', orjson.dumps(build_config(discovery=("nowhere", 99999)))):
@@ -283,7 +283,7 @@
     came, go = SimpleQueue(), Event()
 
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         came.put(1)
         go.wait()
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
@@ -294,7 +294,7 @@
     came.get()
     program.on_term()
     gevent.spawn_later(0.02, go.set)
-    head, body = read_req(client)
+    head, body = read_request(client)
     assert head.startswith(b"HTTP/1.1 200") and b"Connection: close" in head and body == b"hi"
     running.join()
     gc.unfreeze()
@@ -308,7 +308,7 @@
     came, go, many = SimpleQueue(), Event(), 120
 
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         came.put(1)
         go.wait()
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
@@ -328,7 +328,7 @@
     came.get()
     gevent.spawn_later(0.02, go.set)
     for client in clients:
-        head, body = read_req(client)
+        head, body = read_request(client)
         assert head.startswith(b"HTTP/1.1 200") and b"Connection: close" in head and body == b"hi"
     running.join()
     gc.unfreeze()
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,7 +1,7 @@
 import random
 
 import pytest
-from conftest import build_facts
+from conftest import build_settings
 from scipy.stats import ttest_ind
 
 from myrtleroad import interface as i
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def judge():
-    judge = TrialTest(build_facts())
+    judge = TrialTest(build_settings())
     judge.offer(2)
     return judge
 
@@ -149,7 +149,7 @@
 
 @pytest.fixture
 def starved():
-    judge = TrialTest(build_facts())
+    judge = TrialTest(build_settings())
     tell(judge, 1, (0, 0, 0))
     judge.offer(2)
     return judge
@@ -212,7 +212,9 @@
 
 def many(trial, earlier=30, slow=900.0):
     """The judge of one of 200 fronts, 16 of which send a build back, with so many samples."""
-    judge = TrialTest(build_facts(balancers=200, roll={"votes_to_roll_back": 16, "replaces_in_place": True}))
+    judge = TrialTest(
+        build_settings(balancers=200, roll={"votes_to_roll_back": 16, "replaces_in_place": True})
+    )
     judge.offer(2)
     for n in range(earlier):
         give(judge, 1, 100.0 + 3 * (n % 20), n)
--- a/tests/test_lists_first.py
+++ b/tests/test_lists_first.py
@@ -8,7 +8,7 @@
 import gevent
 import orjson
 import pytest
-from conftest import build_told, listed, news_line, silent
+from conftest import build_node_config, discovery_entry, null_log, stage_event
 from gevent import socket
 from gevent.event import Event
 
@@ -85,12 +85,12 @@
 
     def __init__(self, **row):
         self.discovery, self.platform, self.first, self.second = (Listener() for _ in range(4))
-        self.rows = [listed("s-1", self.first.at, **row)]
-        told = build_told(*self.rows, discovery=self.discovery.at, platform=self.platform.at)
+        self.rows = [discovery_entry("s-1", self.first.at, **row)]
+        told = build_node_config(*self.rows, discovery=self.discovery.at, platform=self.platform.at)
         self.front = front.Front(told, os.open(os.devnull, os.O_WRONLY))
         self.running = gevent.spawn(self.front.run)
         self.discovery.opened().send(HEAD + self.listing(8, reset=True))
-        self.platform.opened().send(HEAD + chunk(news_line()))
+        self.platform.opened().send(HEAD + chunk(stage_event()))
         while not self.front.is_ready():
             gevent.sleep(0.001)
         self.clients, self.number = [], 0
@@ -161,7 +161,7 @@
 def test_a_drain_told_behind_a_crowd_of_reqs_goes_before_them(held, clients):
     h = held()
     h.warm(clients)
-    h.rows.append(listed("s-2", h.second.at))
+    h.rows.append(discovery_entry("s-2", h.second.at))
     h.ask()
     h.discovery.conns[0].send(h.listing(9, {"lifecycle": "terminating"}, {}))
     met, got = h.answered()
@@ -172,11 +172,11 @@
 
 def test_a_cap_that_falls_behind_a_crowd_of_reqs_goes_before_them(held):
     h = held(version_no=2)
-    h.platform.conns[0].send(chunk(news_line(Revision=2, State="trial", MaxShare=1.0)))
+    h.platform.conns[0].send(chunk(stage_event(Revision=2, State="trial", MaxShare=1.0)))
     gevent.sleep(0.02)
     h.warm(CROWD)
     h.ask()
-    h.platform.conns[0].send(chunk(news_line(Revision=2, State="rolling_back", MaxShare=0.0)))
+    h.platform.conns[0].send(chunk(stage_event(Revision=2, State="rolling_back", MaxShare=0.0)))
     met, got = h.answered()
     assert met == [0, 0] and set(got) == {b"HTTP/1.1 503"}
 
@@ -184,7 +184,7 @@
 def test_half_a_line_changes_nothing_and_its_rest_all(held):
     h = held()
     h.warm(CROWD)
-    h.rows.append(listed("s-2", h.second.at))
+    h.rows.append(discovery_entry("s-2", h.second.at))
     text = h.listing(9, {"lifecycle": "terminating"}, {})
     h.discovery.conns[0].send(text[:90])
     h.ask()
@@ -199,7 +199,7 @@
 def test_a_drain_and_the_end_of_the_watch_in_one_moment(held):
     h = held()
     h.warm(CROWD)
-    h.rows.append(listed("s-2", h.second.at))
+    h.rows.append(discovery_entry("s-2", h.second.at))
     h.ask()
     sock = h.discovery.conns[0]
     sock.send(h.listing(9, {"lifecycle": "terminating"}, {}) + chunk(b'{"gener'))
@@ -218,7 +218,7 @@
 def test_a_drain_lost_in_a_reset_is_had_again_within_the_window(held, line):
     h = held()
     h.warm(20)
-    h.rows.append(listed("s-2", h.second.at))
+    h.rows.append(discovery_entry("s-2", h.second.at))
     gevent.sleep(
         1.1 - (h.front.clock() - h.front.roster.following.streams[0].first_message_at) / 1000
     )  # it stood
@@ -238,7 +238,7 @@
 def test_a_loop_held_for_300_ms_takes_no_silence_for_the_other_sides(held):
     h = held()
     h.warm(CROWD)
-    h.rows.append(listed("s-2", h.second.at))
+    h.rows.append(discovery_entry("s-2", h.second.at))
     h.front.roster.following.streams[0].last_received_at -= 4400.0  # almost two signs ago
     h.discovery.conns[0].send(h.listing(9, {"lifecycle": "terminating"}, {}))
     h.ask()
@@ -250,8 +250,8 @@
 def test_five_hundred_machines_drain_in_one_line_longer_than_a_read(held):
     h = held()
     h.warm(CROWD)
-    h.rows += [listed(f"s-{n}", ("127.0.0.1", 9)) for n in range(10, 510)]
-    h.rows.append(listed("s-2", h.second.at))
+    h.rows += [discovery_entry(f"s-{n}", ("127.0.0.1", 9)) for n in range(10, 510)]
+    h.rows.append(discovery_entry("s-2", h.second.at))
     gone = [{"lifecycle": "terminating"}] * 501 + [{}]
     text = h.listing(9, *gone)
     assert len(text) > 64 * 1024
@@ -277,7 +277,7 @@
     h.ask()
     while len(waits) < 5:
         gevent.sleep(0.001)
-    h.rows.append(listed("s-2", h.second.at))
+    h.rows.append(discovery_entry("s-2", h.second.at))
     h.discovery.conns[0].send(h.listing(9, {"lifecycle": "terminating"}, {}))
     gevent.sleep(0.3)  # past the drain window
     go.set()
@@ -288,7 +288,7 @@
 
 def test_what_comes_between_the_connection_and_the_first_byte_is_seen(held, monkeypatch):
     h = held()
-    h.rows.append(listed("s-2", h.second.at))
+    h.rows.append(discovery_entry("s-2", h.second.at))
     text, connect = h.listing(9, {"lifecycle": "terminating"}, {}), upstream_server.UpstreamServer.connect
     told_at = []
 
@@ -331,12 +331,14 @@
     )
     h.discovery.conns[0].send(text)
     met, _ = h.answered()
-    known = next(iter(h.front.brain.balancer.machines.values()))
-    assert known.row.build == 2 and met[0] <= 1 + 0.1 * h.number  # the first stage's cap
+    known = next(iter(h.front.brain.balancer.servers.values()))
+    assert known.entry.build == 2 and met[0] <= 1 + 0.1 * h.number  # the first stage's cap
 
 
 def test_a_thousand_reqs_in_the_mailbox_wait_behind_a_list():
-    b = dispatcher.Dispatcher(build_told(listed("s-1", ("127.0.0.1", 9))), Clock(), Counters(), silent)
+    b = dispatcher.Dispatcher(
+        build_node_config(discovery_entry("s-1", ("127.0.0.1", 9))), Clock(), Counters(), null_log
+    )
     b.start()
     running = gevent.spawn(b.run)
     gevent.sleep(0.001)
@@ -349,7 +351,7 @@
     m = {
         "generation": 8,
         "reset": False,
-        "instances": [listed("s-1", ("127.0.0.1", 9), lifecycle="terminating")],
+        "instances": [discovery_entry("s-1", ("127.0.0.1", 9), lifecycle="terminating")],
     }
     b.tell(server_listing(m, {"here": 0}, {"small": 0}))
     gevent.sleep(0.001)
@@ -366,7 +368,7 @@
     h.front.roster.post(AddressChanged(other.at))
     text = h.listing(3, reset=True)  # a numbering of its own
     other.opened().send(HEAD + text)
-    h.rows.append(listed("s-2", h.second.at))
+    h.rows.append(discovery_entry("s-2", h.second.at))
     gevent.sleep(0.02)
     other.conns[0].send(h.listing(4, {"lifecycle": "terminating"}, {}))
     gevent.sleep(0.02)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from conftest import listed
+from conftest import discovery_entry
 from test_front import AT, build_brain, sent, taken
 
 from myrtleroad.net.clock import Clock
@@ -16,7 +16,7 @@
 
 
 def test_an_attempt_names_its_request_its_server_and_the_age_of_the_list():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     b.log = Log(Clock(), os.open(os.devnull, os.O_WRONLY), "debug")
     taken(b, word=b"abc")
     (job,) = sent(b)
@@ -27,7 +27,7 @@
 
 
 def test_attempts_are_not_logged_at_the_usual_level():
-    b = build_brain(listed("s-1", AT))
+    b = build_brain(discovery_entry("s-1", AT))
     b.log = Log(Clock(), os.open(os.devnull, os.O_WRONLY))
     taken(b)
     (job,) = sent(b)
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -2,7 +2,7 @@
 
 import gevent
 import pytest
-from conftest import Peer, build_told, read_req
+from conftest import Peer, build_node_config, read_request
 from gevent.queue import SimpleQueue
 
 from myrtleroad import interface as i
@@ -16,7 +16,14 @@
 
 def build_machine(at, stands=lambda job: True, most=100):
     ended = SimpleQueue()
-    args = (build_told(), Clock(), Counters(), upstream_server.ConnectionBudget(most), ended.put, stands)
+    args = (
+        build_node_config(),
+        Clock(),
+        Counters(),
+        upstream_server.ConnectionBudget(most),
+        ended.put,
+        stands,
+    )
     actor = upstream_server.UpstreamServer(at, *args)
     gevent.spawn(actor.run)
     return actor, ended
@@ -36,7 +43,7 @@
 def answering(*answers):
     def talk(sock):
         for answer in answers:
-            read_req(sock)
+            read_request(sock)
             sock.sendall(answer)
         sock.recv(1)
 
@@ -45,77 +52,77 @@
 
 def test_a_whole_answer_completes_and_the_connection_is_used_again():
     peer = Peer(answering(OK, OK))
-    actor, ended = build_machine(peer.at)
+    actor, ended = build_machine(peer.address)
     for ident in (1, 2):
         got = tried(actor, ended, ident=ident)
         assert got.end == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
         gevent.sleep(0)
-    assert peer.met == 1
+    assert peer.connections == 1
 
 
 @pytest.mark.parametrize("cut", range(len(OK)))
 def test_an_answer_cut_anywhere_may_have_run(cut):
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         sock.sendall(OK[:cut])
 
-    assert tried(*build_machine(Peer(talk).at)).end == i.Outcome.RESET
+    assert tried(*build_machine(Peer(talk).address)).end == i.Outcome.RESET
 
 
 def test_a_refused_connection_never_ran():
     peer = Peer()
     peer.sock.close()
-    assert tried(*build_machine(peer.at)).end == i.Outcome.NOT_CONNECTED
+    assert tried(*build_machine(peer.address)).end == i.Outcome.NOT_CONNECTED
 
 
 def test_a_descriptor_that_we_lack_is_not_the_machines_fault(monkeypatch):
     def none_left(*args):
         raise OSError(errno.EMFILE, "too many open files")
 
-    actor, ended = build_machine(Peer(answering(OK)).at)
+    actor, ended = build_machine(Peer(answering(OK)).address)
     monkeypatch.setattr(upstream_server.socket, "socket", none_left)
     assert tried(actor, ended).end == i.Outcome.MOOT
 
 
 def test_a_second_copy_right_behind_is_nobodys_answer():
     peer = Peer(answering(OK + OK.replace(b"hi", b"no")), answering(OK))
-    actor, ended = build_machine(peer.at)
+    actor, ended = build_machine(peer.address)
     for ident in (1, 2):
         got = tried(actor, ended, ident=ident)
         assert got.end == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
         gevent.sleep(0)
-    assert peer.met == 2
+    assert peer.connections == 2
 
 
 def test_silence_ends_at_the_limit_and_a_late_answer_is_nobodys():
     late = gevent.event.Event()
 
     def first(sock):
-        read_req(sock)
+        read_request(sock)
         late.wait()
         sock.sendall(OK.replace(b"hi", b"no"))
 
     peer = Peer(first, answering(OK))
-    actor, ended = build_machine(peer.at)
+    actor, ended = build_machine(peer.address)
     assert tried(actor, ended, within=30.0).end == i.Outcome.TIMEOUT
     late.set()
     got = tried(actor, ended, ident=2)
     assert got.end == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
-    assert peer.met == 2
+    assert peer.connections == 2
 
 
 def test_a_connection_closed_while_idle_is_not_written_to():
     def first(sock):
-        read_req(sock)
+        read_request(sock)
         sock.sendall(OK)
 
     peer = Peer(first, answering(OK))
-    actor, ended = build_machine(peer.at)
+    actor, ended = build_machine(peer.address)
     assert tried(actor, ended).end == i.Outcome.COMPLETED
     while not actor.idle or not upstream_server.http1.is_stale(actor.idle[-1].sock):
         gevent.sleep(0.001)
     assert tried(actor, ended, ident=2).end == i.Outcome.COMPLETED
-    assert peer.met == 2
+    assert peer.connections == 2
 
 
 def test_a_machine_drained_while_connecting_gets_nothing():
@@ -125,7 +132,7 @@
     def talk(sock):
         came.append(sock.recv(100))
 
-    actor, ended = build_machine(Peer(talk).at, stands=lambda job: False)
+    actor, ended = build_machine(Peer(talk).address, stands=lambda job: False)
     assert tried(actor, ended).end == i.Outcome.MOOT
     gevent.sleep(0)
     actor.mailbox.put(upstream_server.ServerRemoved())
@@ -139,7 +146,7 @@
 
 
 def test_a_try_called_off_before_it_began_still_ends():
-    actor, ended = build_machine(Peer(answering(OK)).at)
+    actor, ended = build_machine(Peer(answering(OK)).address)
     actor.mailbox.put(upstream_server.StartAttempt(job()))
     actor.mailbox.put(upstream_server.StopAttempt(1, 0))
     assert ended.get().end in (i.Outcome.CANCELLED, i.Outcome.NOT_CONNECTED)
@@ -149,11 +156,11 @@
     written = gevent.event.Event()
 
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         written.set()
         sock.recv(1)
 
-    actor, ended = build_machine(Peer(talk).at)
+    actor, ended = build_machine(Peer(talk).address)
     actor.mailbox.put(upstream_server.StartAttempt(job()))
     written.wait()
     actor.mailbox.put(upstream_server.StopAttempt(1, 0))
@@ -162,15 +169,15 @@
 
 def test_another_start_drops_the_old_connections():
     peer = Peer(answering(OK, OK), answering(OK))
-    actor, ended = build_machine(peer.at)
+    actor, ended = build_machine(peer.address)
     tried(actor, ended)
-    actor.mailbox.put(upstream_server.ServerAddressChanged(peer.at))
+    actor.mailbox.put(upstream_server.ServerAddressChanged(peer.address))
     tried(actor, ended, ident=2)
-    assert peer.met == 2
+    assert peer.connections == 2
 
 
 def test_connections_over_their_share_are_not_kept():
-    actor, ended = build_machine(Peer(answering(OK)).at, most=0)
+    actor, ended = build_machine(Peer(answering(OK)).address, most=0)
     assert tried(actor, ended).end == i.Outcome.COMPLETED
     gevent.sleep(0)
     assert actor.idle == [] and actor.share.open == 0
@@ -178,7 +185,7 @@
 
 def test_what_is_not_http_may_have_run():
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         sock.sendall(b"garbage\r\n\r\n")
 
-    assert tried(*build_machine(Peer(talk).at)).end == i.Outcome.RESET
+    assert tried(*build_machine(Peer(talk).address)).end == i.Outcome.RESET
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -3,7 +3,16 @@
 import gevent
 import orjson
 import pytest
-from conftest import NEWS, SETTINGS, Peer, build_config, build_told, listed, read_req, silent
+from conftest import (
+    SETTINGS_JSON,
+    STAGE_FIELDS,
+    Peer,
+    build_config,
+    build_node_config,
+    discovery_entry,
+    null_log,
+    read_request,
+)
 from gevent.queue import SimpleQueue
 
 from myrtleroad import interface as i
@@ -14,7 +23,7 @@
 from myrtleroad.net.stream_poller import StreamPoller
 
 AT = ("127.0.0.1", 8443)
-FIRST = {"generation": 8, "reset": False, "instances": [listed("s-1", AT, lifecycle="terminating")]}
+FIRST = {"generation": 8, "reset": False, "instances": [discovery_entry("s-1", AT, lifecycle="terminating")]}
 LINES = orjson.dumps(FIRST) + b"\n\n" + orjson.dumps(FIRST | {"generation": 9, "reset": True}) + b"\n"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 EVENT = b"event: progress\ndata: Revision=42&Wave=1&State=trial&MaxShare=0.28&AgeMs=310\n\n"
@@ -23,13 +32,15 @@
 def build_roster(at=("127.0.0.1", 9), **changes):
     said = SimpleQueue()
     post = stream.FollowerContext(Clock(), said.put, StreamPoller())
-    return discovery.DiscoveryClient(build_told(discovery=at, **changes), Counters(), silent, post), said
+    return discovery.DiscoveryClient(
+        build_node_config(discovery=at, **changes), Counters(), null_log, post
+    ), said
 
 
 def build_bulletin(at=("127.0.0.1", 9)):
     said = SimpleQueue()
     post = stream.FollowerContext(Clock(), said.put, StreamPoller())
-    return platform.StageUpdates(build_told(platform=at), Counters(), silent, post), said
+    return platform.StageUpdates(build_node_config(platform=at), Counters(), null_log, post), said
 
 
 class Still(stream.Stream):
@@ -109,10 +120,10 @@
     asked = []
 
     def talk(sock):
-        asked.append(read_req(sock)[0].split(b"\r\n")[0])
+        asked.append(read_request(sock)[0].split(b"\r\n")[0])
         sock.sendall(CHUNKED + b"%x\r\n" % len(LINES) + LINES + b"\r\n")
 
-    r, said = build_roster(Peer(talk).at)
+    r, said = build_roster(Peer(talk).address)
     running = gevent.spawn(r.run)
     got = [said.get() for _ in range(4)]
     assert [m.freshness for m in got if isinstance(m, i.ListFreshnessChanged)] == [
@@ -127,9 +138,9 @@
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 def test_a_watch_that_cannot_be_had_is_asked_for_again(mode):
     peer = Peer(*[lambda sock: None] * 3)
-    r, said = build_roster(peer.at, settings=SETTINGS | {"registry_mode": mode})
+    r, said = build_roster(peer.address, settings=SETTINGS_JSON | {"registry_mode": mode})
     running = gevent.spawn(r.run)
-    while peer.met < 3:
+    while peer.connections < 3:
         gevent.sleep(0.005)
     assert r.answered and said.empty() and r.counters.counts["list_asked"] == 3
     running.kill()
@@ -141,11 +152,11 @@
 )
 def test_a_watch_that_fails_ends_once(answer):
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         sock.sendall(answer)
         sock.recv(1)
 
-    r, _ = build_roster(Peer(talk).at)
+    r, _ = build_roster(Peer(talk).address)
     running = gevent.spawn(r.run)
     while not r.answered:
         gevent.sleep(0.001)
@@ -180,9 +191,9 @@
 )
 def test_an_entry_that_cannot_be_read_shuts_its_machine_and_hides_nothing_beside_it(bad):
     r, said = build_roster()
-    rows = [listed("s-1", AT), listed("s-2", AT)]
+    rows = [discovery_entry("s-1", AT), discovery_entry("s-2", AT)]
     told_by(r, following(r), orjson.dumps(FIRST | {"instances": rows}) + b"\n")
-    rows = [listed("s-1", AT) | bad, listed("s-2", AT, lifecycle="terminating"), 7]
+    rows = [discovery_entry("s-1", AT) | bad, discovery_entry("s-2", AT, lifecycle="terminating"), 7]
     told_by(r, r.streams[0], orjson.dumps(FIRST | {"generation": 9, "instances": rows}) + b"\n")
     statuses = {e.word: e.row.status for e in lists_of(said)[-1].entries}
     assert (
@@ -203,7 +214,7 @@
     asked, told_new = [], gevent.event.Event()
 
     def new(sock):
-        asked.append(read_req(sock)[0].split(b"\r\n")[0])
+        asked.append(read_request(sock)[0].split(b"\r\n")[0])
         told_new.wait()
         sock.sendall(CHUNKED + b"%x\r\n%b\r\n" % (len(lists(10)), lists(10)))
         sock.recv(1)
@@ -211,7 +222,7 @@
     r, said = build_roster()
     old = following(r)
     told_by(r, old, lists(8))
-    r.take(node_config.AddressChanged(Peer(new).at))
+    r.take(node_config.AddressChanged(Peer(new).address))
     while not asked:
         gevent.sleep(0.001)
     told_by(r, old, lists(9))
@@ -323,40 +334,40 @@
     forms = []
 
     def talk(sock):
-        forms.append(read_req(sock)[1])
+        forms.append(read_request(sock)[1])
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(STATE) + STATE)
 
     peer, said = Peer(talk, talk), SimpleQueue()
-    d = platform.VoteCaster(build_told(platform=peer.at), Counters(), silent, said.put)
+    d = platform.VoteCaster(build_node_config(platform=peer.address), Counters(), null_log, said.put)
     gevent.spawn(d.run)
     for verdict in (i.Verdict.ON, i.Verdict.BACK):
         d.mailbox.put(i.Vote(42, verdict, 1))
         assert said.get().outcome == i.Outcome.COMPLETED
     assert [f.split(b"&")[3] for f in forms] == [b"Decision=approve", b"Decision=reject"]
-    assert forms[0].startswith(b"Action=RecordOpinion&Revision=42&Wave=1&") and peer.met == 2
+    assert forms[0].startswith(b"Action=RecordOpinion&Revision=42&Wave=1&") and peer.connections == 2
 
 
 def test_after_a_move_votes_go_to_the_new_address():
     forms = []
 
     def talk(sock):
-        forms.append(read_req(sock)[1])
+        forms.append(read_request(sock)[1])
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(STATE) + STATE)
 
     peer, said = Peer(talk), SimpleQueue()
-    d = platform.VoteCaster(build_told(), Counters(), silent, said.put)
+    d = platform.VoteCaster(build_node_config(), Counters(), null_log, said.put)
     gevent.spawn(d.run)
-    d.mailbox.put(node_config.AddressChanged(peer.at))
+    d.mailbox.put(node_config.AddressChanged(peer.address))
     d.mailbox.put(i.Vote(42, i.Verdict.ON, 1))
     assert said.get().outcome == i.Outcome.COMPLETED and len(forms) == 1
 
 
 def test_a_vote_that_nothing_comes_of_may_count():
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         sock.recv(1)
 
-    d = platform.VoteCaster(build_told(platform=Peer(talk).at), Counters(), silent, None)
+    d = platform.VoteCaster(build_node_config(platform=Peer(talk).address), Counters(), null_log, None)
     d.wait_s = 0.02
     assert d.cast(i.Vote(1, i.Verdict.ON, 0)) == ExchangeFailure(
         ExchangeProgress.WRITTEN, FailureCause.TIMEOUT
@@ -364,7 +375,7 @@
 
 
 def test_the_start_is_decoded_once():
-    t = build_told(listed("s-1", AT, zone="there", startedAtMs=12, version_no=41))
+    t = build_node_config(discovery_entry("s-1", AT, zone="there", startedAtMs=12, version_no=41))
     assert (t.seed, t.sockets, t.connect_ms, t.idle_ms) == (0x8C1F30D27A5BE964, 1024, 250.0, 15000.0)
     assert (t.routes, t.tenants) == ({b"look": 0, b"book": 1}, {b"acme": 0})
     assert t.facts.routes[1].retry_safety == i.RetrySafety.NON_RETRIABLE and t.facts.load_column == 0
@@ -381,7 +392,9 @@
         b"{}",
         orjson.dumps(build_config() | {"listen": "nowhere"}),
         orjson.dumps(build_config() | {"settings": {}}),
-        orjson.dumps(build_config() | {"platform": {"address": "a:1", "news": NEWS | {"State": "new"}}}),
+        orjson.dumps(
+            build_config() | {"platform": {"address": "a:1", "news": STAGE_FIELDS | {"State": "new"}}}
+        ),
     ],
 )
 def test_a_configuration_that_cannot_be_read_is_one_plain_line(text):
@@ -392,31 +405,31 @@
 
 @pytest.mark.parametrize("framing", [b"length", b"chunked"])
 def test_a_whole_list_of_a_thousand_machines_is_read(framing):
-    entries = [listed(f"s-{n:08x}", ("10.0.0.1", n)) for n in range(1024)]
+    entries = [discovery_entry(f"s-{n:08x}", ("10.0.0.1", n)) for n in range(1024)]
     body = orjson.dumps({"generation": 9, "reset": True, "instances": entries})
     head_of = b"Content-Length: %d" % len(body) if framing == b"length" else b"Transfer-Encoding: chunked"
     sent = body if framing == b"length" else b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body)
 
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         sock.sendall(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (head_of, sent))
 
-    r, _ = build_roster(Peer(talk).at)
+    r, _ = build_roster(Peer(talk).address)
     assert len(r.fetch(0).said.entries) == 1024
 
 
 def test_a_whole_list_without_an_end_is_given_up():
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (stream.MAX_LINE_BYTES + 1))
 
-    r, _ = build_roster(Peer(talk).at)
+    r, _ = build_roster(Peer(talk).address)
     assert r.fetch(0).said is None
 
 
 def test_a_thousand_machines_on_one_line_of_the_watch_and_at_the_start():
-    entries = [listed(f"s-{n:08x}", ("10.0.0.1", n)) for n in range(1024)]
-    assert len(build_told(*entries).known.entries) == 1024
+    entries = [discovery_entry(f"s-{n:08x}", ("10.0.0.1", n)) for n in range(1024)]
+    assert len(build_node_config(*entries).known.entries) == 1024
     r, said = build_roster()
     line = orjson.dumps({"generation": 9, "reset": True, "instances": entries}) + b"\n"
     told_by(r, following(r), line, cut=len(line) // 2)
@@ -426,12 +439,12 @@
 
 def test_a_whole_list_cut_short_leaves_the_last_good_one():
     def talk(sock):
-        read_req(sock)
+        read_request(sock)
         sock.sendall(
             b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"generation":9,"reset":true,"instances":['
         )
 
-    r, said = build_roster(Peer(talk).at)
+    r, said = build_roster(Peer(talk).address)
     fetched = r.fetch(0)
     r.other(fetched)
     assert fetched.said is None and fetched.why == "ended" and not lists_of(said)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -10,7 +10,7 @@
 import orjson
 import pytest
 from click.testing import CliRunner
-from conftest import build_config, build_told, listed, silent
+from conftest import build_config, build_node_config, discovery_entry, null_log
 from gevent import socket
 
 from myrtleroad import interface as i
@@ -40,7 +40,7 @@
         self.serve()
 
     def serve(self, at=("127.0.0.1", 0)):
-        self.service = service.ControlService(Folder(self.folder), self.plan, Clock(), silent, at)
+        self.service = service.ControlService(Folder(self.folder), self.plan, Clock(), null_log, at)
         self.running = gevent.spawn(self.service.run)
 
     def kill(self):
@@ -51,7 +51,9 @@
         return at
 
     def front(self, name="n0"):
-        told = build_told(listed("s-1", AT), listed("s-2", AT, zone="there"), name=name)
+        told = build_node_config(
+            discovery_entry("s-1", AT), discovery_entry("s-2", AT, zone="there"), name=name
+        )
         self.own = self.folder / "front.kdl"
         self.own.write_text('control "{}:{}"'.format(*self.service.address))
         made = front.Front(told, os.open(os.devnull, os.O_WRONLY), own=str(self.own))
@@ -109,8 +111,8 @@
     until(lambda: w.service.rollout.phase == VersionRolloutPhase.DONE)
     b = f.brain.balancer
     assert b.settings.routes[0].timeout_ms == 700.0 and b.settings.routes[0].max_attempts == 1
-    assert b.most_share == 0.05
-    assert {m.row.status for m in b.machines.values()} == {i.ServerStatus.DRAINING}
+    assert b.max_trial_share == 0.05
+    assert {m.entry.status for m in b.servers.values()} == {i.ServerStatus.DRAINING}
     client = socket.create_connection(f.door.sock.getsockname())
     answers = []
     for n in range(4):
@@ -123,8 +125,8 @@
     f.log("list read")
     f.log("fault", level="warning")
     assert len(f.log.lines) == before + 1 and orjson.loads(f.log.lines[-1])["level"] == "warning"
-    assert b.settings.routes[0].timeout_ms == 2000.0 and b.most_share == 1.0
-    assert {m.row.status for m in b.machines.values()} == {i.ServerStatus.IN_SERVICE}
+    assert b.settings.routes[0].timeout_ms == 2000.0 and b.max_trial_share == 1.0
+    assert {m.entry.status for m in b.servers.values()} == {i.ServerStatus.IN_SERVICE}
     assert f.counters.counts["faults"] == 0
 
 
@@ -171,9 +173,9 @@
     until(lambda: holds(f) == 1)
     w.publish("trial most-share=0.01", head="confirm=(s)1")
     until(lambda: holds(f) == 2)
-    assert f.brain.balancer.most_share == 0.01
+    assert f.brain.balancer.max_trial_share == 0.01
     until(lambda: holds(f) == 1)
-    assert f.brain.balancer.most_share == 0.05 and f.counters.counts["versions_rolled_back"] == 1
+    assert f.brain.balancer.max_trial_share == 0.05 and f.counters.counts["versions_rolled_back"] == 1
     until(lambda: w.call(call="status")["fronts"][0]["holds"][1] == 1)
     w.publish("trial most-share=0.02", head="confirm=(s)1")
     until(lambda: holds(f) == 3)
@@ -190,7 +192,7 @@
     until(lambda: holds(f) == 1)
     f.brain.tell(i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.ON_TRIAL, 0.04, 0.0))
     f.brain.hear()
-    assert f.brain.balancer.cap(2)[0] == 0.04 and f.brain.balancer.most_share == 0.04
+    assert f.brain.balancer.exposure_cap(2)[0] == 0.04 and f.brain.balancer.max_trial_share == 0.04
 
 
 def test_a_service_that_is_killed_in_a_rollout_goes_on_with_its_numbers(world):
@@ -319,16 +321,16 @@
     w.publish("trial most-share=0.04")  # both at once, and the signal
     f.reload()
     until(lambda: f.versions.ledger.in_force.version.epoch == 2)
-    assert f.brain.balancer.most_share == 0.02 and f.counters.counts["faults"] == 0
+    assert f.brain.balancer.max_trial_share == 0.02 and f.counters.counts["faults"] == 0
     w.publish("trial most-share=0.03")
     gevent.sleep(0.05)
-    assert f.brain.balancer.most_share == 0.02
+    assert f.brain.balancer.max_trial_share == 0.02
     standing = set(f.versions.socks)
     w.own.write_text('control "127.0.0.1:9"')  # nobody is there: the one that stands is followed on
     f.reload()
     gevent.sleep(0.05)
     assert standing <= set(f.versions.socks) and other.publish("trial most-share=0.01")["number"] == 2
-    until(lambda: f.brain.balancer.most_share == 0.01)
+    until(lambda: f.brain.balancer.max_trial_share == 0.01)
     w.own.write_text('control "{}:{}"'.format(*other.service.address))
     f.reload()
     until(lambda: len(f.versions.socks) == 1 and f.versions.stream in f.versions.socks)
