--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -209,7 +209,7 @@
         name: min(timed(call) for _ in range(5))
         for name, call in (
             ("one write and read of a head", write),
-            ("the look", lookout.look),
+            ("the look", lookout.read_ready),
             ("a read of each stream", read),
         )
     }
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -105,12 +105,12 @@
         node_config.decode_node_config(orjson.dumps(config)), os.open(os.devnull, os.O_WRONLY)
     )
     holder = operator_limits.OperatorLimits(
-        program.told, program.clock, program.brain, program.roster, program.door
+        program.node_config, program.clock, program.dispatcher, program.discovery, program.client_listener
     )
-    versions = holder.versions(("127.0.0.1", 9), program.counters, program.log)
+    versions = holder.config_versions(("127.0.0.1", 9), program.counters, program.log)
     running = gevent.spawn(program.run)
     data = text(1, entries)
-    at = program.door.sock.getsockname()
+    at = program.client_listener.sock.getsockname()
     socks: list[socket.socket] = []
 
     def one(number: int, times: list[float]) -> None:
--- a/myrtleroad/cli.py
+++ b/myrtleroad/cli.py
@@ -43,7 +43,7 @@
 
     try:
         told_now = node_config.read_node_config()
-        program = front.Front(told_now, own=also)
+        program = front.Front(told_now, front_file=also)
     except node_config.ConfigError as fault:
         sys.exit(f"myrtleroad: {fault}")
     except OSError as fault:
@@ -68,6 +68,7 @@
     except node_config.ConfigError as fault:
         sys.exit(f"myrtleroad: {fault}")
     click.echo(
-        f"{t.name}: {len(t.routes)} routes, {len(t.tenants)} tenants, {len(t.known.entries)} machines, "
-        f"build {t.news.build} stage {t.news.stage} {t.news.phase.name.lower()}"
+        f"{t.name}: {len(t.routes)} routes, {len(t.tenants)} tenants, "
+        f"{len(t.initial_list.servers)} machines, build {t.initial_stage.build} "
+        f"stage {t.initial_stage.stage} {t.initial_stage.phase.name.lower()}"
     )
--- a/myrtleroad/config/commands.py
+++ b/myrtleroad/config/commands.py
@@ -24,7 +24,7 @@
     from myrtleroad.net import node_config
 
     try:
-        return node_config.read_node_config(config_file).bounds()
+        return node_config.read_node_config(config_file).limits()
     except node_config.ConfigError as fault:
         raise click.ClickException(str(fault)) from None
 
--- a/myrtleroad/net/client_listener.py
+++ b/myrtleroad/net/client_listener.py
@@ -334,7 +334,7 @@
 
     def word(self, rq: i.Request, message: http1.Message, age: float, now: float) -> response.Response | None:
         """The answer to a req that has waited unread for too long; nothing was sent for it."""
-        self.counters.high("longest_unread_ms", age)
+        self.counters.record_high("longest_unread_ms", age)
         word = self.entry.decide(age, rq.deadline - now, now)
         if word == AdmissionDecision.TAKE:
             return None
--- a/myrtleroad/net/counters.py
+++ b/myrtleroad/net/counters.py
@@ -15,10 +15,10 @@
     def add(self, name: str, n: int = 1) -> None:
         self.counts[name] += n
 
-    def high(self, name: str, value: float) -> None:
+    def record_high(self, name: str, value: float) -> None:
         if value > self.highest.get(name, 0.0):
             self.highest[name] = value
 
-    def shown(self) -> dict[str, float]:
+    def snapshot(self) -> dict[str, float]:
         highest = {name: round(value, 1) for name, value in self.highest.items()}
         return dict(sorted(self.counts.items())) | highest
--- a/myrtleroad/net/discovery.py
+++ b/myrtleroad/net/discovery.py
@@ -50,104 +50,106 @@
 
 
 def server_rank(e: ListedServer) -> Restriction:
-    return RANKS[e.row.status]
+    return RANKS[e.entry.status]
 
 
 def same_start(a: ListedServer, b: ListedServer) -> bool:
-    return (a.row.build, a.row.started_at) == (b.row.build, b.row.started_at)
+    return (a.entry.build, a.entry.started_at) == (b.entry.build, b.entry.started_at)
 
 
 class ListFetched:
     """What came of asking for the whole list: the list of one source, or None and why."""
 
-    __slots__ = ("said", "why")
+    __slots__ = ("error", "message")
 
     def __init__(self, said: ListMessage[ListedServer] | None, why: str = ""):
-        self.said, self.why = said, why
+        self.message, self.error = said, why
 
 
 class DiscoveryClient(FollowerActor):
     ACTOR_NAME = "roster"  # the actor's name in log events
-    NAME, ENDED = "list", "watches_ended"
+    NAME, ENDED_COUNTER = "list", "watches_ended"
 
     def __init__(self, told: NodeConfig, counters: Counters, log: Log, post: FollowerContext):
         self.lease = ListLease(LeaseTerms.from_settings(told.facts))
         super().__init__(told.discovery, list_follower_settings(told), told, counters, log, post)
-        self.following.lease = self.lease
-        self.words = (told.zones, told.kinds)
-        self.book: ServerList[ListedServer] = ServerList(server_rank, same_start)
-        self.book.load_initial(told.known.version, {e.word: e for e in told.known.entries})
-        self.pacing = CallBackoff(list_follower_settings(told), Random(told.seed + 1).random)
+        self.stream_follower.lease = self.lease
+        self.name_numbers = (told.zones, told.kinds)
+        self.server_list: ServerList[ListedServer] = ServerList(server_rank, same_start)
+        self.server_list.load_initial(
+            told.initial_list.version, {e.server_id: e for e in told.initial_list.servers}
+        )
+        self.fetch_backoff = CallBackoff(list_follower_settings(told), Random(told.seed + 1).random)
         self.sources: dict[int, int] = {}  # of each stream that is held; emptied as each ends
-        self.objects: dict[
+        self.readers: dict[
             int, JsonObjectReader
         ] = {}  # of each stream that is held; emptied with ``sources``
         self.fetching = False
 
-    def open(self, number: int) -> Stream:
-        self.sources[number] = self.following.source
-        return Stream(number, f"/api/targets?watch=1&after={self.book.version}", self)
+    def open_stream(self, number: int) -> Stream:
+        self.sources[number] = self.stream_follower.source
+        return Stream(number, f"/api/targets?watch=1&after={self.server_list.version}", self)
 
-    def said(self, text: bytes, source: int) -> ListMessage[ListedServer]:
+    def decode_list(self, text: bytes, source: int) -> ListMessage[ListedServer]:
         """A list in discovery's form. Raises where nothing of it can be read."""
         m = json_object(text)
-        read, unclear = listed_servers(m["instances"], *self.words)
+        read, unclear = listed_servers(m["instances"], *self.name_numbers)
         return ListMessage(source, non_negative_int(m["generation"]), bool(m["reset"]), read, unclear)
 
-    def line(self, stream: Stream, text: bytes) -> None:
-        whole = self.objects.setdefault(stream.number, JsonObjectReader(LIST_KEY)).take(text)
+    def process_line(self, stream: Stream, text: bytes) -> None:
+        whole = self.readers.setdefault(stream.number, JsonObjectReader(LIST_KEY)).feed(text)
         if whole is None:
             return
-        said = self.said(whole, self.sources[stream.number])
-        watched = stream.told and self.following.freshness is i.ListFreshness.FRESH
-        change = self.book.apply_message(said, self.following.is_sole_source(stream.number))
-        if said.source == self.book.source:
-            self.told(stream, version=said.version, entries=len(said.entries))
-        self.apply(change, watched)
-
-    def parted(self, stream: Stream) -> None:
-        source = self.sources.pop(stream.number, self.book.source)
-        self.objects.pop(stream.number, None)
+        said = self.decode_list(whole, self.sources[stream.number])
+        watched = stream.has_delivered and self.stream_follower.freshness is i.ListFreshness.FRESH
+        change = self.server_list.apply_message(said, self.stream_follower.is_sole_source(stream.number))
+        if said.source == self.server_list.source:
+            self.received(stream, version=said.version, entries=len(said.entries))
+        self.apply_change(change, watched)
+
+    def stream_gone(self, stream: Stream) -> None:
+        source = self.sources.pop(stream.number, self.server_list.source)
+        self.readers.pop(stream.number, None)
         if source in self.sources.values():
             return
-        change = self.book.source_ended(source)
-        self.apply(change)
+        change = self.server_list.source_ended(source)
+        self.apply_change(change)
         if change is not None:  # what stood behind it holds now
-            for number in [n for n, x in self.sources.items() if x == self.book.source]:
-                self.carry(self.following.message_received(number, self.clock()))
+            for number in [n for n, x in self.sources.items() if x == self.server_list.source]:
+                self.execute(self.stream_follower.message_received(number, self.clock()))
 
-    def seen(self, act: FreshnessChanged) -> None:
-        super().seen(act)
+    def freshness_changed(self, act: FreshnessChanged) -> None:
+        super().freshness_changed(act)
         self.deliver(i.ListFreshnessChanged(act.freshness, act.confirmed_at))
 
-    def apply(self, change: ListChange[ListedServer] | None, watched: bool = False) -> None:
+    def apply_change(self, change: ListChange[ListedServer] | None, watched: bool = False) -> None:
         """What a list changes goes to the module; a whole list is asked for where one is wanted."""
         if change is None:
             return
         rows = list(change.entries.values())
         for word in change.blocked:
             # Guards against sending on to a machine of which something was said that we cannot read.
-            rows.append(self.book.entries[word].draining())
+            rows.append(self.server_list.entries[word].as_draining())
         if change.whole or rows:
             kind = i.ListKind.WHOLE if change.whole else i.ListKind.CHANGES
-            self.deliver(ServerListing(self.book.version, kind, rows, watched and not change.whole))
-            by_status = Counter(e.row.status.name.lower() for e in rows)
-            self.log("list applied", version=self.book.version, whole=change.whole, **by_status)
+            self.deliver(ServerListing(self.server_list.version, kind, rows, watched and not change.whole))
+            by_status = Counter(e.entry.status.name.lower() for e in rows)
+            self.log("list applied", version=self.server_list.version, whole=change.whole, **by_status)
         if change.refetch_reason and not self.fetching:
             self.fetching = True
-            pause = self.pacing.next_pause_ms(None)
+            pause = self.fetch_backoff.next_pause_ms(None)
             self.log("list whole asked", why=change.refetch_reason, in_ms=round(pause, 1))
-            source = self.following.source
-            gevent.spawn_later(pause / 1000, lambda: self.post(self.fetch(source)))
+            source = self.stream_follower.source
+            gevent.spawn_later(pause / 1000, lambda: self.post(self.fetch_list(source)))
 
-    def fetch(self, source: int) -> ListFetched:
+    def fetch_list(self, source: int) -> ListFetched:
         """The whole list, in one call of its own."""
         sock, answers = None, http1.ResponseParser(most=MAX_LINE_BYTES)  # as long as on a watch's one line
         self.counters.add("lists_fetched")
         try:
             with gevent.Timeout(FETCH_TIMEOUT_S, TimeoutError):
-                sock = socket.create_connection(self.at, CONNECT_TIMEOUT_S)
-                http1.send(sock, http1.request_parts("GET", "/api/targets", http1.host_header(self.at)))
+                sock = socket.create_connection(self.address, CONNECT_TIMEOUT_S)
+                http1.send(sock, http1.request_parts("GET", "/api/targets", http1.host_header(self.address)))
                 while not answers.complete:
                     data = http1.receive(sock)
                     if not data:
@@ -155,21 +157,21 @@
                     answers.feed(data)
             if answers.answer.status != 200:
                 return ListFetched(None, f"status {answers.answer.status}")
-            return ListFetched(self.said(b"".join(answers.answer.body), source))
+            return ListFetched(self.decode_list(b"".join(answers.answer.body), source))
         except (OSError, http1.HttpError, *DECODE_ERRORS) as error:
             return ListFetched(None, f"{type(error).__name__}: {error}")
         finally:
             if sock is not None:
                 sock.close()
 
-    def other(self, message: object) -> None:
+    def process_other(self, message: object) -> None:
         if not isinstance(message, ListFetched):
-            return super().other(message)
+            return super().process_other(message)
         self.fetching = False
-        if message.said is None:
-            self.log("list whole missed", why=message.why)
-            return self.apply(ListChange(False, {}, refetch_reason=message.why))
-        change = self.book.apply_fetched(message.said)
+        if message.message is None:
+            self.log("list whole missed", why=message.error)
+            return self.apply_change(ListChange(False, {}, refetch_reason=message.error))
+        change = self.server_list.apply_fetched(message.message)
         if change is not None and not change.refetch_reason:
-            self.pacing.failures = 0
-        return self.apply(change)
+            self.fetch_backoff.failures = 0
+        return self.apply_change(change)
--- a/myrtleroad/net/front.py
+++ b/myrtleroad/net/front.py
@@ -29,68 +29,79 @@
 
 
 class Front:
-    def __init__(self, told: NodeConfig, log_to: int = 1, own: str | None = None):
-        self.told, self.clock, self.counters = told, Clock(), Counters()
+    def __init__(self, told: NodeConfig, log_to: int = 1, front_file: str | None = None):
+        self.node_config, self.clock, self.counters = told, Clock(), Counters()
         try:
             level = level_from_environment(os.environ)
         except ValueError as error:
             raise ConfigError(str(error)) from None
         self.log = Log(self.clock, log_to, level)
-        self.brain = Dispatcher(told, self.clock, self.counters, self.log)
-        deliver = self.brain.mailbox.put
-        tell = self.brain.tell
-        post = FollowerContext(self.clock, tell, self.brain.lookout)
-        self.roster = DiscoveryClient(told, self.counters, self.log, post)
-        self.bulletin = StageUpdates(told, self.counters, self.log, post)
-        self.brain.list_age = self.roster.following.age_ms
-        self.brain.balancer.lease = self.roster.lease
+        self.dispatcher = Dispatcher(told, self.clock, self.counters, self.log)
+        deliver = self.dispatcher.mailbox.put
+        tell = self.dispatcher.post_update
+        post = FollowerContext(self.clock, tell, self.dispatcher.stream_poller)
+        self.discovery = DiscoveryClient(told, self.counters, self.log, post)
+        self.stage_updates = StageUpdates(told, self.counters, self.log, post)
+        self.dispatcher.list_age = self.discovery.stream_follower.age_ms
+        self.dispatcher.balancer.lease = self.discovery.lease
         self.started_at = self.clock()
-        self.desk = VoteCaster(told, self.counters, self.log, tell)
-        self.brain.vote = self.desk.mailbox.put
-        self.door = ClientListener(told, self.clock, self.counters, self.log, deliver, self.is_ready)
-        self.brain.clients = lambda: len(self.door.clients)
-        self.stop, self.was_ready = Event(), False
-        self.own, self.versions = own, None
-        if own is not None:
+        self.vote_caster = VoteCaster(told, self.counters, self.log, tell)
+        self.dispatcher.cast_vote = self.vote_caster.mailbox.put
+        self.client_listener = ClientListener(
+            told, self.clock, self.counters, self.log, deliver, self.is_ready
+        )
+        self.dispatcher.client_count = lambda: len(self.client_listener.clients)
+        self.stop_event, self.was_ready = Event(), False
+        self.front_file, self.config_versions = front_file, None
+        if front_file is not None:
             # Loaded only where it is wanted: a front without fits its memory as before.
             from myrtleroad.net import operator_limits
             from myrtleroad.net.front_file import control_address
 
-            if (at := control_address(own)) is not None:
-                holder = operator_limits.OperatorLimits(told, self.clock, self.brain, self.roster, self.door)
-                self.versions = holder.versions(at, self.counters, self.log)
+            if (at := control_address(front_file)) is not None:
+                holder = operator_limits.OperatorLimits(
+                    told, self.clock, self.dispatcher, self.discovery, self.client_listener
+                )
+                self.config_versions = holder.config_versions(at, self.counters, self.log)
 
     def is_ready(self) -> bool:
         """Once the list is in the module, or could not be had for a while, and so the platform's news."""
-        if self.stop.is_set() or not self.bulletin.answered:
+        if self.stop_event.is_set() or not self.stage_updates.answered:
             return False
-        if not self.was_ready and not self.roster.lease.may_start(self.clock(), self.started_at):
+        if not self.was_ready and not self.discovery.lease.may_start(self.clock(), self.started_at):
             return False
         if not self.was_ready:
             self.was_ready = True
-            self.log("ready", machines=len(self.brain.machines))
+            self.log("ready", machines=len(self.dispatcher.servers))
         return True
 
     def run(self) -> None:
         gevent.signal_handler(signal.SIGTERM, self.on_term)
         gevent.signal_handler(signal.SIGINT, self.on_term)
-        gevent.signal_handler(signal.SIGUSR1, self.show)
+        gevent.signal_handler(signal.SIGUSR1, self.log_counters)
         gevent.signal_handler(signal.SIGHUP, self.reload)
         release_signals()
-        self.log("start", name=self.told.name, machines=len(self.told.known.entries))
-        self.brain.start()
-        for actor in (self.log, self.brain, self.roster, self.bulletin, self.desk, self.door):
+        self.log("start", name=self.node_config.name, machines=len(self.node_config.initial_list.servers))
+        self.dispatcher.start()
+        for actor in (
+            self.log,
+            self.dispatcher,
+            self.discovery,
+            self.stage_updates,
+            self.vote_caster,
+            self.client_listener,
+        ):
             gevent.spawn(keep_running, actor.ACTOR_NAME, actor.run, self.counters, self.log)
-        if self.versions is not None:
-            gevent.spawn(keep_running, "versions", self.versions.run, self.counters, self.log)
+        if self.config_versions is not None:
+            gevent.spawn(keep_running, "versions", self.config_versions.run, self.counters, self.log)
         gc.collect()
         gc.freeze()  # what is there for good need not be looked through at each collection
-        self.stop.wait()
+        self.stop_event.wait()
         self.drain()
 
     def on_term(self) -> None:
         """The first begins the stop; further ones change nothing, as what was taken is still owed."""
-        self.stop.set()
+        self.stop_event.set()
 
     def reload(self) -> None:
         """Take up a new configuration: the addresses of discovery and platform go to their actors. One that
@@ -102,36 +113,38 @@
             self.log("reload refused", why=str(fault))
             return
         self.counters.add("reloads")
-        kept = fields_needing_restart(self.told, new)
+        kept = fields_needing_restart(self.node_config, new)
         self.log("reload", discovery=new.discovery, platform=new.platform, kept_as_started=kept)
-        self.roster.post(AddressChanged(new.discovery))
-        self.bulletin.post(AddressChanged(new.platform))
-        self.desk.mailbox.put(AddressChanged(new.platform))
-        if self.versions is not None:
+        self.discovery.post(AddressChanged(new.discovery))
+        self.stage_updates.post(AddressChanged(new.platform))
+        self.vote_caster.mailbox.put(AddressChanged(new.platform))
+        if self.config_versions is not None:
             from myrtleroad.net.front_file import control_address
 
             try:
-                at = control_address(self.own)
+                at = control_address(self.front_file)
             except ConfigError as fault:
                 self.log("reload refused", why=str(fault))
                 return
             if at is not None:
-                self.versions.mailbox.put(AddressChanged(at))
+                self.config_versions.mailbox.put(AddressChanged(at))
 
     def drain(self) -> None:
         """Answer whatever comes while connections may still arrive, then what is held, then end."""
-        self.log("stopping", open=len(self.brain.open))
-        self.door.stopping = True
+        self.log("stopping", open=len(self.dispatcher.open_requests))
+        self.client_listener.stopping = True
         gevent.sleep(LATE_CONNECTIONS_S)
-        last = self.clock() + max(r.timeout_ms for r in self.told.facts.routes)  # for reqs half come
-        self.door.shut(last)
-        while self.brain.open or (self.clock() < last and not all(c.idle for c in self.door.clients)):
+        last = self.clock() + max(r.timeout_ms for r in self.node_config.facts.routes)  # for reqs half come
+        self.client_listener.shut(last)
+        while self.dispatcher.open_requests or (
+            self.clock() < last and not all(c.idle for c in self.client_listener.clients)
+        ):
             gevent.sleep(0.01)
-        self.show()
+        self.log_counters()
         self.log("stopped")
         self.log.flush()
 
-    def show(self) -> None:
-        held, open_now, dropped = len(self.brain.open), open_descriptors(), self.log.dropped
-        counts = self.counters.shown()
+    def log_counters(self) -> None:
+        held, open_now, dropped = len(self.dispatcher.open_requests), open_descriptors(), self.log.dropped
+        counts = self.counters.snapshot()
         self.log("counters", open=held, descriptors=open_now, log_dropped=dropped, counts=counts)
--- a/myrtleroad/net/json_stream.py
+++ b/myrtleroad/net/json_stream.py
@@ -17,14 +17,14 @@
     """The objects of one stream. Blank lines between objects are signs of life; one within an object, or the
     beginning of another, shows that the first was cut off."""
 
-    __slots__ = ("begins", "depth", "lines", "size")
+    __slots__ = ("depth", "lines", "size", "top_level_key")
 
     def __init__(self, begins: bytes):
-        self.begins = begins  # a key that every whole object has and no object within it
+        self.top_level_key = begins  # a key that every whole object has and no object within it
         self.lines: list[bytes] = []  # of an object that has not ended
         self.depth, self.size = 0, 0
 
-    def take(self, text: bytes) -> bytes | None:
+    def feed(self, text: bytes) -> bytes | None:
         """The object that ends with this line, if one does. Raises ValueError where there can be none."""
         line = text.strip()
         if not line and not self.lines:
@@ -44,5 +44,5 @@
         if not self.lines:
             if not line.startswith(b"{"):
                 raise ValueError("no object")
-        elif not line or (line.startswith(b"{") and self.begins in line):
+        elif not line or (line.startswith(b"{") and self.top_level_key in line):
             raise ValueError(TRUNCATED)
--- a/myrtleroad/net/log.py
+++ b/myrtleroad/net/log.py
@@ -26,37 +26,37 @@
 
 class Log:
     ACTOR_NAME = "log"  # the actor's name in log events
-    KEPT = 1000  # lines that wait for a slow reader; later ones are dropped and counted
+    MAX_LINES = 1000  # lines that wait for a slow reader; later ones are dropped and counted
 
     def __init__(self, clock: Callable[[], float], fd: int = 1, level: str = "info"):
         self.clock, self.fd = clock, fd
         self.lines: deque[bytes] = deque()  # emptied by the writer
         self.dropped = 0
         self.level = level  # lines under it are not written; a version may set it
-        self.some = Event()
+        self.has_lines = Event()
         make_nonblocking(fd)
 
     def __call__(self, event: str, *, level: str = "info", **fields: object) -> None:
         """``level`` says whether somebody should look (``warning``) or not."""
         if LEVELS[level] < LEVELS[self.level]:
             return
-        if len(self.lines) >= self.KEPT:
+        if len(self.lines) >= self.MAX_LINES:
             self.dropped += 1
             return
         line = {"at_ms": round(self.clock(), 1), "event": event, **fields}
         if level != "info":
             line["level"] = level
         self.lines.append(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE, default=str))
-        self.some.set()
+        self.has_lines.set()
 
-    def writes(self, level: str) -> bool:
+    def is_enabled(self, level: str) -> bool:
         """Whether a line of this level would be written, for callers whose fields cost something."""
         return LEVELS[level] >= LEVELS[self.level]
 
     def run(self) -> None:
         while True:
-            self.some.wait()
-            self.some.clear()
+            self.has_lines.wait()
+            self.has_lines.clear()
             while self.lines:
                 self.write(self.lines.popleft())
 
@@ -80,20 +80,23 @@
     """Lines that trouble brings by thousands: ``most`` of a kind a second are written, the first of the next
     second says how many were not. Guards against a log that is itself the next trouble."""
 
-    __slots__ = ("kept", "left_out", "log", "most", "second")
+    __slots__ = ("left_out", "log", "max_per_second", "second", "written")
 
     def __init__(self, log: Callable[..., None], most: int = 5):
-        self.log, self.most = log, most  # as many as a reader can compare; a flood alike says no more
-        self.second, self.kept, self.left_out = 0, 0, 0
+        self.log, self.max_per_second = (
+            log,
+            most,
+        )  # as many as a reader can compare; a flood alike says no more
+        self.second, self.written, self.left_out = 0, 0, 0
 
     def __call__(self, event: str, now: float, **fields: object) -> None:
         second = int(now // 1000)
         if second != self.second:
-            self.second, self.kept = second, 0
-        if self.kept >= self.most:
+            self.second, self.written = second, 0
+        if self.written >= self.max_per_second:
             self.left_out += 1
             return
-        self.kept += 1
+        self.written += 1
         if self.left_out:
             fields["left_out"], self.left_out = self.left_out, 0
         self.log(event, level="warning", **fields)
--- a/myrtleroad/net/node_config.py
+++ b/myrtleroad/net/node_config.py
@@ -39,19 +39,19 @@
 class ListedServer:
     """One machine as discovery lists it; the row's index is the front's to give."""
 
-    word: str
+    server_id: str
     address: Address
-    row: i.ServerEntry
+    entry: i.ServerEntry
 
-    def draining(self) -> "ListedServer":
-        return ListedServer(self.word, self.address, replace(self.row, status=i.ServerStatus.DRAINING))
+    def as_draining(self) -> "ListedServer":
+        return ListedServer(self.server_id, self.address, replace(self.entry, status=i.ServerStatus.DRAINING))
 
 
 @dataclass(slots=True)
 class ServerListing:
     version: int
     kind: i.ListKind
-    entries: list[ListedServer]
+    servers: list[ListedServer]
     watched: bool = False  # changes that came as they happened, on a watch that has been followed all along
 
 
@@ -59,7 +59,7 @@
 class AddressChanged:
     """A new configuration names another address for a peer."""
 
-    at: Address
+    address: Address
 
 
 @dataclass(slots=True)
@@ -71,8 +71,8 @@
     seed: int
     sockets: int
     facts: i.Settings
-    news: i.StageUpdate
-    known: ServerListing
+    initial_stage: i.StageUpdate
+    initial_list: ServerListing
     routes: dict[bytes, int]
     tenants: dict[bytes, int]
     zones: dict[str, int]
@@ -80,7 +80,7 @@
     connect_ms: float
     idle_ms: float
 
-    def bounds(self, cap: float | None = None, control: str | None = None) -> "rules.FrontLimits":
+    def limits(self, cap: float | None = None, control: str | None = None) -> "rules.FrontLimits":
         """What a version of what operators set is held against: ``cap`` is the one told last, of a build on
         trial, else the start's; ``control`` the address that versions come from."""
         from myrtleroad.config import rules
@@ -96,7 +96,9 @@
             zones=tuple(self.zones),
             max_attempts=self.facts.max_attempts,
             caps=self.facts.rollout.stage_caps,
-            cap=self.news.cap if cap is None and self.news.phase == i.RolloutPhase.ON_TRIAL else cap,
+            cap=self.initial_stage.cap
+            if cap is None and self.initial_stage.phase == i.RolloutPhase.ON_TRIAL
+            else cap,
             control_host=control,
         )
 
@@ -130,9 +132,9 @@
 
 def listed_server(e: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> ListedServer:
     return ListedServer(
-        word=str(e["instanceId"]),
+        server_id=str(e["instanceId"]),
         address=parse_address(e["hostPort"]),
-        row=i.ServerEntry(
+        entry=i.ServerEntry(
             server=-1,
             status=STATUSES[e["lifecycle"]],
             build=non_negative_int(e.get("version_no") or 0),
@@ -157,7 +159,7 @@
     for e in told:
         try:
             got = listed_server(e, zones, kinds)
-            read[got.word] = got
+            read[got.server_id] = got
         except DECODE_ERRORS:
             word = e.get("instanceId") if isinstance(e, dict) else None
             unclear.append(word if isinstance(word, str) else None)
@@ -202,8 +204,8 @@
             seed=int(str(m["seed"]), 16),
             sockets=int(m["limits"]["sockets"]),
             facts=decode_settings(s),
-            news=stage_update(m["platform"]["news"]),
-            known=known,
+            initial_stage=stage_update(m["platform"]["news"]),
+            initial_list=known,
             routes={lane["name"].encode(): n for n, lane in enumerate(s["lanes"])},
             tenants={t["name"].encode(): n for n, t in enumerate(s.get("tenants") or ())},
             zones=zones,
--- a/myrtleroad/net/operator_limits.py
+++ b/myrtleroad/net/operator_limits.py
@@ -29,37 +29,49 @@
         roster: DiscoveryClient,
         door: ClientListener,
     ):
-        self.told, self.clock, self.brain, self.roster, self.door = told, clock, brain, roster, door
-        self.routes = [n.decode() for n in told.routes]
-        self.tenants = [n.decode() for n in told.tenants]
-        self.gate, self.log = RequestLimits(), brain.log
+        self.node_config, self.clock, self.dispatcher, self.discovery, self.client_listener = (
+            told,
+            clock,
+            brain,
+            roster,
+            door,
+        )
+        self.route_names = [n.decode() for n in told.routes]
+        self.tenant_names = [n.decode() for n in told.tenants]
+        self.request_limits, self.log = RequestLimits(), brain.log
 
-    def versions(self, at: Address, counters: Counters, log: Log) -> ConfigVersions:
-        made = ConfigVersions(at, self.told, self.clock, counters, log, self.hold, self.trial_cap)
-        self.brain.on_news = made.renew
+    def config_versions(self, at: Address, counters: Counters, log: Log) -> ConfigVersions:
+        made = ConfigVersions(at, self.node_config, self.clock, counters, log, self.apply, self.trial_cap)
+        self.dispatcher.on_stage_update = made.reapply
         return made
 
     def trial_cap(self) -> float | None:
-        news = self.brain.balancer.stage_update
+        news = self.dispatcher.balancer.stage_update
         return news.cap if news.phase == i.RolloutPhase.ON_TRIAL else None
 
-    def hold(self, bounds: rules.EffectiveLimits | None) -> None:
+    def apply(self, bounds: rules.EffectiveLimits | None) -> None:
         now = self.clock()
-        held = bounds if bounds is not None else rules.effective_limits(NO_ENTRIES, self.told.bounds(1.0))
-        event = narrowed_settings(self.told.facts, held, self.routes, self.tenants)
+        held = (
+            bounds if bounds is not None else rules.effective_limits(NO_ENTRIES, self.node_config.limits(1.0))
+        )
+        event = narrowed_settings(self.node_config.facts, held, self.route_names, self.tenant_names)
         if bounds is None:
             event.max_trial_share = 1.0
-        zones = frozenset(self.told.zones[z] for z in held.drained_zones)
-        changed = (held.drained_servers, zones) != self.brain.aside
+        zones = frozenset(self.node_config.zones[z] for z in held.drained_zones)
+        changed = (held.drained_servers, zones) != self.dispatcher.out_of_service
         listing = ServerListing(
-            self.roster.book.version, i.ListKind.CHANGES, list(self.roster.book.entries.values())
+            self.discovery.server_list.version,
+            i.ListKind.CHANGES,
+            list(self.discovery.server_list.entries.values()),
         )
         # From here on nothing can fail.
         self.log.level = held.log_level
-        self.gate.update(bounds, now)
-        self.brain.aside = (held.drained_servers, zones)
-        self.brain.tell(event)
+        self.request_limits.update(bounds, now)
+        self.dispatcher.out_of_service = (held.drained_servers, zones)
+        self.dispatcher.post_update(event)
         if changed:
-            self.brain.tell(listing)
-        self.brain.hear()
-        self.door.bind(event.settings, held.networks, self.gate if bounds is not None else None)
+            self.dispatcher.post_update(listing)
+        self.dispatcher.apply_updates()
+        self.client_listener.bind(
+            event.settings, held.networks, self.request_limits if bounds is not None else None
+        )
--- a/myrtleroad/net/platform.py
+++ b/myrtleroad/net/platform.py
@@ -72,19 +72,19 @@
     """The platform's stream of news."""
 
     ACTOR_NAME = "bulletin"  # the actor's name in log events
-    NAME, ENDED = "bulletin", "bulletins_ended"
+    NAME, ENDED_COUNTER = "bulletin", "bulletins_ended"
 
     def __init__(self, told: NodeConfig, counters: Counters, log: Log, post: FollowerContext):
         super().__init__(told.platform, follower_settings(told, HEARTBEAT_MS), told, counters, log, post)
-        self.events: dict[int, bytes] = {}  # of each stream; an event ends with its data line here
+        self.event_types: dict[int, bytes] = {}  # of each stream; an event ends with its data line here
 
-    def open(self, number: int) -> Stream:
+    def open_stream(self, number: int) -> Stream:
         return Stream(number, "/v1/bulletin", self)
 
-    def parted(self, stream: Stream) -> None:
-        self.events.pop(stream.number, None)
+    def stream_gone(self, stream: Stream) -> None:
+        self.event_types.pop(stream.number, None)
 
-    def line(self, stream: Stream, text: bytes) -> None:
+    def process_line(self, stream: Stream, text: bytes) -> None:
         name, mark, value = text.strip().partition(b":")
         value = value.strip()
         if not mark and name:
@@ -92,11 +92,11 @@
         if name == b"event":
             if value not in EVENT_TYPES:
                 raise ValueError("no kind of event")
-            self.events[stream.number] = value
-        elif name == b"data" and self.events.get(stream.number) == b"progress":
+            self.event_types[stream.number] = value
+        elif name == b"data" and self.event_types.get(stream.number) == b"progress":
             news = stage_update(dict(parse_qsl(value.decode())))
             self.deliver(news)
-            self.told(stream, build=news.build)
+            self.received(stream, build=news.build)
         elif name == b"data":
             self.counters.add("bulletin_unknown")
         elif name not in (b"", b"data", b"id", b"retry"):
@@ -109,15 +109,15 @@
     ACTOR_NAME = "desk"  # the actor's name in log events
 
     def __init__(self, told: NodeConfig, counters: Counters, log: Log, deliver: Callable[[object], None]):
-        self.at, self.counters, self.log, self.deliver = told.platform, counters, log, deliver
-        self.wait_s = told.facts.rollout.vote_timeout_ms / 1000
+        self.address, self.counters, self.log, self.deliver = told.platform, counters, log, deliver
+        self.timeout_s = told.facts.rollout.vote_timeout_ms / 1000
         self.mailbox: SimpleQueue = SimpleQueue()
 
     def run(self) -> None:
         while True:
             message = self.mailbox.get()
             if isinstance(message, AddressChanged):
-                self.at = message.at  # a vote that is out keeps its one result
+                self.address = message.address  # a vote that is out keeps its one result
                 continue
             result = self.cast(message)
             news = vote_result(result)
@@ -138,10 +138,10 @@
         }
         reach, sock, answers = ExchangeProgress.NOT_CONNECTED, None, http1.ResponseParser()
         try:
-            with gevent.Timeout(self.wait_s, TimeoutError):
-                sock = socket.create_connection(self.at)
+            with gevent.Timeout(self.timeout_s, TimeoutError):
+                sock = socket.create_connection(self.address)
                 reach = ExchangeProgress.CONNECTED
-                host = http1.host_header(self.at)
+                host = http1.host_header(self.address)
                 http1.send(sock, http1.request_parts("POST", "/v1/", host, urlencode(fields).encode()))
                 reach = ExchangeProgress.WRITTEN
                 while not answers.complete:
--- a/myrtleroad/net/stream.py
+++ b/myrtleroad/net/stream.py
@@ -38,20 +38,20 @@
 
     clock: Callable[[], float]
     deliver: Callable[[object], None]
-    lookout: StreamPoller
+    poller: StreamPoller
 
 
 @dataclass(slots=True)
 class LineReceived:
     stream: "Stream"
-    text: bytes
+    line: bytes
 
 
 @dataclass(slots=True)
 class StreamEnded:
     stream: "Stream"
-    why: str
-    reached: bool = True  # a connection had come up
+    reason: str
+    connected: bool = True  # a connection had come up
 
 
 class Stream:
@@ -59,44 +59,44 @@
     must not miss what has come calls ``read_now`` through the lookout, at any moment between two switches."""
 
     __slots__ = (
-        "answers",
-        "asked_at",
-        "at",
+        "address",
+        "connected",
         "greenlet",
-        "lookout",
+        "has_delivered",
         "number",
+        "parser",
+        "partial_line",
+        "poller",
         "post",
-        "reached",
-        "rest",
+        "requested_at",
         "sock",
         "target",
-        "told",
     )
 
     def __init__(self, number: int, target: str, follower: "FollowerActor"):
-        self.number, self.at, self.target = number, follower.at, target
-        self.post, self.lookout, self.sock = follower.post, follower.lookout, None
-        self.answers = http1.ResponseParser(stream=True)
-        self.rest = b""  # of a line that has not ended
-        self.told = False  # whether it has told anything yet
-        self.asked_at = follower.clock()
-        self.reached = False  # whether its connection has come up
+        self.number, self.address, self.target = number, follower.address, target
+        self.post, self.poller, self.sock = follower.post, follower.poller, None
+        self.parser = http1.ResponseParser(stream=True)
+        self.partial_line = b""  # of a line that has not ended
+        self.has_delivered = False  # whether it has told anything yet
+        self.requested_at = follower.clock()
+        self.connected = False  # whether its connection has come up
         self.greenlet = gevent.spawn(self.run)
 
     def run(self) -> None:
-        why = self.read()
-        self.post(StreamEnded(self, why, self.reached))
+        why = self.receive()
+        self.post(StreamEnded(self, why, self.connected))
 
-    def read(self) -> str:
+    def receive(self) -> str:
         sock = None
         try:
-            sock = socket.create_connection(self.at, CONNECT_TIMEOUT_S)
-            self.reached = True
+            sock = socket.create_connection(self.address, CONNECT_TIMEOUT_S)
+            self.connected = True
             sock.settimeout(None)  # its silence is judged by the follower
-            http1.send(sock, http1.request_parts("GET", self.target, http1.host_header(self.at)))
+            http1.send(sock, http1.request_parts("GET", self.target, http1.host_header(self.address)))
             self.sock = sock
-            self.lookout.add(sock.fileno(), self)
-            while not self.answers.complete:
+            self.poller.add(sock.fileno(), self)
+            while not self.parser.complete:
                 data = http1.receive(sock)
                 if not data:
                     return "ended"
@@ -106,21 +106,21 @@
             return f"{type(error).__name__}: {error}"
         finally:
             if sock is not None:
-                self.lookout.drop(sock.fileno(), self)
+                self.poller.remove(sock.fileno(), self)
                 self.sock = None
                 sock.close()
 
     def feed(self, data: memoryview | bytes) -> None:
-        self.answers.feed(data)
-        if self.answers.answer.status not in (0, 200):
-            raise http1.HttpError(self.answers.answer.status)
-        chunks, self.answers.answer.body = self.answers.answer.body, []
-        self.take(b"".join(chunks))
+        self.parser.feed(data)
+        if self.parser.answer.status not in (0, 200):
+            raise http1.HttpError(self.parser.answer.status)
+        chunks, self.parser.answer.body = self.parser.answer.body, []
+        self.split_lines(b"".join(chunks))
 
     def read_now(self) -> bool:
         """One read, a second where that was full, and so on up to a line's limit. What cannot be read, and
         the end, are left to the greenlet: it is told at once."""
-        if self.sock is None or self.answers.complete:
+        if self.sock is None or self.parser.complete:
             return False
         try:
             for _ in range(MAX_LINE_BYTES // READ_BYTES + 1):
@@ -128,7 +128,7 @@
                 if not data:
                     return False
                 self.feed(data)
-                if self.answers.complete:
+                if self.parser.complete:
                     raise ConnectionError("ended")
                 if len(data) < READ_BYTES:
                     break
@@ -139,10 +139,10 @@
             return False
         return True
 
-    def take(self, chunk: bytes) -> None:
+    def split_lines(self, chunk: bytes) -> None:
         """Lines may be split anywhere."""
-        *lines, self.rest = (self.rest + chunk).split(b"\n")
-        if len(self.rest) > MAX_LINE_BYTES:
+        *lines, self.partial_line = (self.partial_line + chunk).split(b"\n")
+        if len(self.partial_line) > MAX_LINE_BYTES:
             raise http1.HttpError(502)
         for line in lines:
             self.post(LineReceived(self, line))
@@ -155,7 +155,7 @@
     """An actor that follows one peer's stream as ``membership.StreamFollower`` says: it opens and closes
     streams, posts their words and the passing of time to it, and passes on what they say."""
 
-    NAME, ENDED = "", ""  # for log and counters
+    NAME, ENDED_COUNTER = "", ""  # for log and counters
 
     def __init__(
         self,
@@ -166,114 +166,119 @@
         log: Log,
         post: FollowerContext,
     ):
-        self.at, self.counters, self.log = at, counters, log
-        self.clock, self.deliver, self.lookout = post
-        self.following = StreamFollower(manner, Random(told.seed).random, self.clock())
-        self.lookout.settle.append(self.settle)
+        self.address, self.counters, self.log = at, counters, log
+        self.clock, self.deliver, self.poller = post
+        self.stream_follower = StreamFollower(manner, Random(told.seed).random, self.clock())
+        self.poller.after_poll.append(self.process_mailbox)
         self.mailbox: SimpleQueue = SimpleQueue()
-        self.wake = Event()  # set when something was posted or taken: what is due may have changed
+        self.wake_event = Event()  # set when something was posted or taken: what is due may have changed
         self.streams: dict[int, Stream] = {}  # by the numbers of following; emptied as each ends
         self.answered = False  # whether the first stream has told something or failed
 
     def run(self) -> None:
-        self.carry(self.following.start(self.clock()))
+        self.execute(self.stream_follower.start(self.clock()))
         while True:
-            wait = max(0.0, self.following.due() - self.clock()) / 1000
-            self.wake.wait(min(wait, MAX_WAIT_S))
-            self.wake.clear()
-            self.settle()
-            if self.following.due() <= self.clock():
+            wait = max(0.0, self.stream_follower.due() - self.clock()) / 1000
+            self.wake_event.wait(min(wait, MAX_WAIT_S))
+            self.wake_event.clear()
+            self.process_mailbox()
+            if self.stream_follower.due() <= self.clock():
                 # Guards against taking our own standstill for the other side's: what has come is read first.
-                self.lookout.look()
-                self.carry(self.following.tick(self.clock()))
+                self.poller.read_ready()
+                self.execute(self.stream_follower.tick(self.clock()))
 
     def post(self, message: object) -> None:
         self.mailbox.put(message)
-        self.wake.set()
+        self.wake_event.set()
 
-    def settle(self) -> None:
+    def process_mailbox(self) -> None:
         """What waits in the mailbox is taken now, in order, by whoever may not go on without it. ``take``
         never switches, so nobody is found in the middle of it."""
         while self.mailbox.qsize():
-            self.take(self.mailbox.get(block=False))
+            self.process(self.mailbox.get(block=False))
             # Guards against a follower that sleeps on past what this message made due.
-            self.wake.set()
+            self.wake_event.set()
 
-    def take(self, message: object) -> None:
+    def process(self, message: object) -> None:
         now = self.clock()
         match message:
             case AddressChanged(at):
-                if at != self.at:
-                    self.at = at
-                    self.carry(self.following.address_changed(now))
+                if at != self.address:
+                    self.address = at
+                    self.execute(self.stream_follower.address_changed(now))
             case LineReceived(stream, text):
                 if self.streams.get(stream.number) is stream:
-                    self.carry(self.following.bytes_received(stream.number, now))
-                    self.read(stream, text)
+                    self.execute(self.stream_follower.bytes_received(stream.number, now))
+                    self.read_line(stream, text)
             case StreamEnded(stream, why, reached):
                 if self.streams.pop(stream.number, None) is stream:
-                    self.over(stream, why, reached)
+                    self.stream_ended(stream, why, reached)
             case _:
-                self.other(message)
+                self.process_other(message)
 
-    def read(self, stream: Stream, text: bytes) -> None:
+    def read_line(self, stream: Stream, text: bytes) -> None:
         try:
-            self.line(stream, text)
+            self.process_line(stream, text)
         except DECODE_ERRORS as error:
             del self.streams[stream.number]
             stream.close()
-            self.over(stream, f"unreadable: {type(error).__name__}: {error}")
+            self.stream_ended(stream, f"unreadable: {type(error).__name__}: {error}")
 
-    def lost(self, stream: Stream, why: str) -> None:
+    def log_lost(self, stream: Stream, why: str) -> None:
         """Counts and logs the end of a stream that this side did not want to end."""
         self.answered = True
-        self.counters.add(self.ENDED)
-        after = round(self.clock() - stream.asked_at, 1)
-        what = dict(at=http1.host_header(stream.at), stream=stream.number, told=stream.told, after_ms=after)
+        self.counters.add(self.ENDED_COUNTER)
+        after = round(self.clock() - stream.requested_at, 1)
+        what = dict(
+            at=http1.host_header(stream.address),
+            stream=stream.number,
+            told=stream.has_delivered,
+            after_ms=after,
+        )
         self.log(f"{self.NAME} lost", level="warning", why=why, **what)
 
-    def over(self, stream: Stream, why: str, reached: bool = True) -> None:
-        self.lost(stream, why)
-        self.carry(self.following.stream_ended(stream.number, self.clock(), why, reached))
-        self.parted(stream)
+    def stream_ended(self, stream: Stream, why: str, reached: bool = True) -> None:
+        self.log_lost(stream, why)
+        self.execute(self.stream_follower.stream_ended(stream.number, self.clock(), why, reached))
+        self.stream_gone(stream)
 
-    def told(self, stream: Stream, **what: object) -> None:
+    def received(self, stream: Stream, **what: object) -> None:
         """The stream has told something that could be read, and its word holds."""
-        if not stream.told:
-            stream.told = self.answered = True
-            after = round(self.clock() - stream.asked_at, 1)
-            at = http1.host_header(stream.at)
+        if not stream.has_delivered:
+            stream.has_delivered = self.answered = True
+            after = round(self.clock() - stream.requested_at, 1)
+            at = http1.host_header(stream.address)
             self.log(f"{self.NAME} read", at=at, stream=stream.number, after_ms=after, **what)
-        self.carry(self.following.message_received(stream.number, self.clock()))
+        self.execute(self.stream_follower.message_received(stream.number, self.clock()))
 
-    def carry(self, acts: list[FollowerAction]) -> None:
+    def execute(self, acts: list[FollowerAction]) -> None:
         for act in acts:
             match act:
                 case OpenStream(number):
                     self.counters.add(f"{self.NAME}_asked")
-                    stream = self.streams[number] = self.open(number)
+                    stream = self.streams[number] = self.open_stream(number)
                     self.log(f"{self.NAME} asked", stream=number, target=stream.target)
                 case CloseStream(number, why):
                     if stream := self.streams.pop(number, None):
                         stream.close()
                         if why == "silent":
-                            self.lost(stream, why)
-                        self.parted(stream)
+                            self.log_lost(stream, why)
+                        self.stream_gone(stream)
                 case FreshnessChanged():
-                    self.seen(act)
+                    self.freshness_changed(act)
 
-    def seen(self, act: FreshnessChanged) -> None:
+    def freshness_changed(self, act: FreshnessChanged) -> None:
         age = round(self.clock() - act.confirmed_at, 1)
         self.log(f"{self.NAME} sight", sight=act.freshness.name, age_ms=age, why=act.why)
 
-    def open(self, number: int) -> Stream:
+    def open_stream(self, number: int) -> Stream:
         raise NotImplementedError
 
-    def line(self, stream: Stream, text: bytes) -> None:
+    def process_line(self, stream: Stream, text: bytes) -> None:
         raise NotImplementedError
 
-    def parted(self, stream: Stream) -> None:
+    def stream_gone(self, stream: Stream) -> None:
         """A stream has gone, whoever ended it."""
 
-    def other(self, message: object) -> None:
+    def process_other(self, message: object) -> None:
         raise TypeError(f"not for a follower: {message!r}")
--- a/myrtleroad/net/stream_poller.py
+++ b/myrtleroad/net/stream_poller.py
@@ -18,36 +18,38 @@
     """The descriptors of the open streams, asked for together in one system call. A stream leaves it as it
     closes, or as its end is seen."""
 
-    __slots__ = ("poll", "settle", "sources")
+    __slots__ = ("after_poll", "poll_object", "streams")
 
     def __init__(self) -> None:
-        self.poll = select.poll()
-        self.sources: dict[int, ReadableStream] = {}  # as many as streams are open: four at most
-        self.settle: list[Callable[[], None]] = []  # the followers' own steps: what they were posted is taken
+        self.poll_object = select.poll()
+        self.streams: dict[int, ReadableStream] = {}  # as many as streams are open: four at most
+        self.after_poll: list[
+            Callable[[], None]
+        ] = []  # the followers' own steps: what they were posted is taken
 
     def add(self, fd: int, source: ReadableStream) -> None:
-        self.sources[fd] = source
-        self.poll.register(fd, select.POLLIN)
+        self.streams[fd] = source
+        self.poll_object.register(fd, select.POLLIN)
 
-    def drop(self, fd: int, source: ReadableStream) -> None:
+    def remove(self, fd: int, source: ReadableStream) -> None:
         # Guards against a number that the system has given to another stream meanwhile.
-        if self.sources.get(fd) is source:
-            del self.sources[fd]
-            self.poll.unregister(fd)
+        if self.streams.get(fd) is source:
+            del self.streams[fd]
+            self.poll_object.unregister(fd)
 
-    def ready(self) -> list[int]:
+    def readable(self) -> list[int]:
         """The descriptors on which something waits; all of them where the system cannot say."""
         try:
-            return [fd for fd, _ in self.poll.poll(0)]
+            return [fd for fd, _ in self.poll_object.poll(0)]
         except OSError:
-            return list(self.sources)
+            return list(self.streams)
 
-    def look(self) -> None:
+    def read_ready(self) -> None:
         """Costs one system call where nothing has come. Never switches to another greenlet."""
-        if self.sources:
-            for fd in self.ready():
-                source = self.sources.get(fd)
+        if self.streams:
+            for fd in self.readable():
+                source = self.streams.get(fd)
                 if source is not None and not source.read_now():
-                    self.drop(fd, source)
-        for step in self.settle:
+                    self.remove(fd, source)
+        for step in self.after_poll:
             step()
--- a/myrtleroad/net/upstream_server.py
+++ b/myrtleroad/net/upstream_server.py
@@ -54,20 +54,20 @@
 class AttemptJob:
     """One upstream try, as the module asked for it."""
 
-    ident: int
-    try_no: int
-    machine: int
+    request_id: int
+    attempt_number: int
+    server: int
     message: http1.Message
-    sent: float  # when the module decided
-    ends_at: float  # when we stop waiting
-    ticket: tuple[float, ...]  # what the list and the news said then
+    decided_at: float  # when the module decided
+    deadline: float  # when we stop waiting
+    preconditions: tuple[float, ...]  # what the list and the news said then
 
 
 @dataclass(slots=True)
 class AttemptResult:
     job: AttemptJob
-    end: i.Outcome
-    took_ms: float
+    outcome: i.Outcome
+    duration_ms: float
     result: UpstreamResponse | ExchangeFailure
     connected_at: float = float("inf")  # when its connection was made; inf where there was none
 
@@ -79,15 +79,15 @@
 
 @dataclass(slots=True)
 class StopAttempt:
-    ident: int
-    try_no: int
+    request_id: int
+    attempt_number: int
 
 
 @dataclass(slots=True)
 class ServerAddressChanged:
     """The list gives the machine another address, or another start: old connections are of no use."""
 
-    at: Address
+    address: Address
 
 
 @dataclass(slots=True)
@@ -100,8 +100,8 @@
     """The descriptors that connections to machines may hold together: each try of a held req needs one,
     and what is over that share is not kept idle."""
 
-    most: int
-    open: int = 0
+    limit: int
+    in_use: int = 0
 
 
 @dataclass(slots=True)
@@ -109,22 +109,22 @@
     """A try has ended; its connection, if it may be used again."""
 
     job: AttemptJob
-    link: "Connection | None"
+    connection: "Connection | None"
 
 
 class Connection:
     """One connection to a machine. Whoever holds it, the actor or one try, is its only user."""
 
-    __slots__ = ("answers", "connected_at", "free_at", "share", "sock", "start")
+    __slots__ = ("budget", "connected_at", "generation", "idle_since", "parser", "sock")
 
     def __init__(self, sock: socket.socket, start: int, share: ConnectionBudget, connected_at: float):
-        self.sock, self.start, self.share, self.connected_at = sock, start, share, connected_at
-        self.answers, self.free_at = http1.ResponseParser(), 0.0
-        share.open += 1
+        self.sock, self.generation, self.budget, self.connected_at = sock, start, share, connected_at
+        self.parser, self.idle_since = http1.ResponseParser(), 0.0
+        share.in_use += 1
 
     def close(self) -> None:
         self.sock.close()
-        self.share.open -= 1
+        self.budget.in_use -= 1
 
 
 class UpstreamServer:
@@ -138,80 +138,86 @@
         deliver: Callable[[AttemptResult], None],
         stands: Callable[[AttemptJob], bool],
     ):
-        self.at, self.clock, self.counters, self.share = at, clock, counters, share
-        self.connect_ms, self.idle_ms = told.connect_ms, told.idle_ms
-        self.deliver, self.stands = deliver, stands
-        self.start = 0  # counts the addresses and starts that the list has told
+        self.address, self.clock, self.counters, self.budget = at, clock, counters, share
+        self.connect_timeout_ms, self.idle_timeout_ms = told.connect_ms, told.idle_ms
+        self.deliver, self.preconditions_hold = deliver, stands
+        self.generation = 0  # counts the addresses and starts that the list has told
         self.mailbox: SimpleQueue = SimpleQueue()
-        self.idle: list[Connection] = []  # last used last; emptied by age and as the machine closes
-        self.out: dict[tuple[int, int], gevent.Greenlet] = {}  # emptied by each try's end
-        self.gone = False
+        self.idle_connections: list[
+            Connection
+        ] = []  # last used last; emptied by age and as the machine closes
+        self.running: dict[tuple[int, int], gevent.Greenlet] = {}  # emptied by each try's end
+        self.removed = False
 
     def run(self) -> None:
-        while not (self.gone and not self.out):
+        while not (self.removed and not self.running):
             try:
-                message = self.mailbox.get(timeout=IDLE_SWEEP_S if self.idle else None)
+                message = self.mailbox.get(timeout=IDLE_SWEEP_S if self.idle_connections else None)
             except Empty:
-                self.sweep()
+                self.close_stale()
                 continue
             match message:
                 case StartAttempt(job):
-                    self.go(job)
+                    self.start_attempt(job)
                 case ConnectionReleased(job, link):
-                    self.out.pop((job.ident, job.try_no), None)
+                    self.running.pop((job.request_id, job.attempt_number), None)
                     if link is not None:
-                        self.keep(link)
+                        self.keep_idle(link)
                 case StopAttempt(ident, try_no):
-                    if running := self.out.get((ident, try_no)):
+                    if running := self.running.get((ident, try_no)):
                         gevent.sleep(0)  # one that has not begun yet would end without a word
                         running.kill(block=False)
                 case ServerAddressChanged(at):
-                    self.at, self.start = at, self.start + 1
-                    self.drop_idle()
+                    self.address, self.generation = at, self.generation + 1
+                    self.close_idle()
                 case ServerRemoved():
-                    self.gone = True
-                    self.drop_idle()
+                    self.removed = True
+                    self.close_idle()
 
-    def go(self, job: AttemptJob) -> None:
+    def start_attempt(self, job: AttemptJob) -> None:
         try:
-            self.out[job.ident, job.try_no] = gevent.spawn(self.attempt, job, self.take())
+            self.running[job.request_id, job.attempt_number] = gevent.spawn(
+                self.attempt, job, self.take_idle()
+            )
         except Exception:
             # Guards against a try that nobody has begun and nobody ends; the fault is told as any other.
             self.counters.add("tries_moot")
-            self.deliver(AttemptResult(job, i.Outcome.MOOT, self.clock() - job.sent, NOT_SENT))
+            self.deliver(AttemptResult(job, i.Outcome.MOOT, self.clock() - job.decided_at, NOT_SENT))
             raise
 
-    def take(self) -> Connection | None:
+    def take_idle(self) -> Connection | None:
         """The idle connection used last, of those that still stand."""
-        while self.idle:
-            link = self.idle.pop()
-            if self.sound(link):
+        while self.idle_connections:
+            link = self.idle_connections.pop()
+            if self.is_usable(link):
                 return link
             link.close()
         return None
 
-    def sound(self, link: Connection) -> bool:
-        return self.clock() - link.free_at < self.idle_ms - IDLE_MARGIN_MS and not http1.is_stale(link.sock)
+    def is_usable(self, link: Connection) -> bool:
+        return self.clock() - link.idle_since < self.idle_timeout_ms - IDLE_MARGIN_MS and not http1.is_stale(
+            link.sock
+        )
 
-    def keep(self, link: Connection) -> None:
-        if self.gone or link.start != self.start or self.share.open > self.share.most:
+    def keep_idle(self, link: Connection) -> None:
+        if self.removed or link.generation != self.generation or self.budget.in_use > self.budget.limit:
             link.close()
             return
-        link.free_at = self.clock()
-        self.idle.append(link)
+        link.idle_since = self.clock()
+        self.idle_connections.append(link)
 
-    def sweep(self) -> None:
-        old, self.idle = self.idle, []
+    def close_stale(self) -> None:
+        old, self.idle_connections = self.idle_connections, []
         for link in old:
-            if self.sound(link):
-                self.idle.append(link)
+            if self.is_usable(link):
+                self.idle_connections.append(link)
             else:
                 link.close()
 
-    def drop_idle(self) -> None:
-        for link in self.idle:
+    def close_idle(self) -> None:
+        for link in self.idle_connections:
             link.close()
-        self.idle = []
+        self.idle_connections = []
 
     def attempt(self, job: AttemptJob, link: Connection | None) -> None:
         """One try, sent exactly once; its one ending goes to the module whatever happens."""
@@ -232,19 +238,19 @@
             end = outcome_of_attempt(result)
             self.counters.add(f"tries_{end.name.lower()}")
             connected_at = link.connected_at if link is not None else float("inf")
-            self.deliver(AttemptResult(job, end, self.clock() - job.sent, result, connected_at))
+            self.deliver(AttemptResult(job, end, self.clock() - job.decided_at, result, connected_at))
             self.mailbox.put(ConnectionReleased(job, kept))
 
     def connect(self, job: AttemptJob) -> Connection | ExchangeFailure:
-        left, start = job.ends_at - self.clock(), self.start
+        left, start = job.deadline - self.clock(), self.generation
         if left < 1:
             return DEADLINE_PASSED
         try:
-            sock = connect(self.at, min(self.connect_ms, left) / 1000)
+            sock = connect(self.address, min(self.connect_timeout_ms, left) / 1000)
         except TimeoutError:
             return (
                 DEADLINE_PASSED
-                if left < self.connect_ms
+                if left < self.connect_timeout_ms
                 else ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.TIMEOUT)
             )
         except OSError as error:
@@ -256,20 +262,20 @@
             return ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.CANCELLED)
         try_set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
         self.counters.add("machine_connections")
-        return Connection(sock, start, self.share, self.clock())
+        return Connection(sock, start, self.budget, self.clock())
 
-    def begin(self, job: AttemptJob, sock: socket.socket) -> ExchangeFailure | None:
+    def write_request(self, job: AttemptJob, sock: socket.socket) -> ExchangeFailure | None:
         """Writes the request; what kept it from being written, or None.
 
         What the module decided on may hold no more by the time that the system takes the first byte: a
         connection came up slowly, a buffer was full, the process was held. So both the check and the time
         told are made anew before each try to write."""
         while True:
-            left = job.ends_at - self.clock()
+            left = job.deadline - self.clock()
             if left < 1:
                 return DEADLINE_PASSED
             parts = http1.forwarded_request(job.message, max(1, int(left - TRANSIT_MS)))
-            if not self.stands(job):
+            if not self.preconditions_hold(job):
                 return NOT_SENT
             rest = http1.send_nowait(sock, parts)
             if len(rest) < sum(map(len, parts)):
@@ -282,13 +288,13 @@
     def exchange(self, job: AttemptJob, link: Connection) -> UpstreamResponse | ExchangeFailure:
         reach, sock = ExchangeProgress.CONNECTED, link.sock
         try:
-            if (unsent := self.begin(job, sock)) is not None:
+            if (unsent := self.write_request(job, sock)) is not None:
                 return unsent
             reach = ExchangeProgress.WRITTEN
-            answers = link.answers
+            answers = link.parser
             answers.reset()
             while not answers.complete:
-                left = job.ends_at - self.clock()
+                left = job.deadline - self.clock()
                 if left <= 0:
                     return ExchangeFailure(reach, FailureCause.TIMEOUT)
                 sock.settimeout(left / 1000)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -155,7 +155,7 @@
     def __call__(self, event, **fields):
         pass
 
-    def writes(self, level):
+    def is_enabled(self, level):
         return False
 
 
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -38,14 +38,17 @@
 
     def collect(self):
         """The tries that the machines' actors were handed."""
-        for actor in self.b.machines.values():
+        for actor in self.b.servers.values():
             while actor.mailbox.qsize():
                 message = actor.mailbox.get()
                 if isinstance(message, upstream_server.StartAttempt):
                     job = message.job
-                    assert job.ident not in self.left and not self.answers.get(job.ident)
+                    assert job.request_id not in self.left and not self.answers.get(job.request_id)
                     # What may have run must not run twice where its route forbids it.
-                    assert self.b.open[job.ident].taken.rq.route == 0 or job.ident not in self.ran
+                    assert (
+                        self.b.open_requests[job.request_id].received.request.route == 0
+                        or job.request_id not in self.ran
+                    )
                     self.out.append(job)
 
     @rule(target=reqs, route=st.integers(0, 1), within=st.floats(1.0, 900.0), age=st.floats(0.0, 300.0))
@@ -75,59 +78,62 @@
             return
         job = self.out.pop(which % len(self.out))
         if end not in i.NOT_EXECUTED:
-            self.ran[job.ident] = True
+            self.ran[job.request_id] = True
         if fault:
-            self.b.load = lambda message: 1 / 0
-        self.b.end(upstream_server.AttemptResult(job, end, self.now - job.sent, ENDS[end]))
-        self.b.settle()
+            self.b.load_report = lambda message: 1 / 0
+        self.b.attempt_ended(upstream_server.AttemptResult(job, end, self.now - job.decided_at, ENDS[end]))
+        self.b.process_ended_attempts()
         if fault:
-            del self.b.load
+            del self.b.load_report
         self.collect()
 
     @rule(ident=reqs)
     def leave(self, ident):
-        if all(message.rq.id != ident for message in self.waiting):
+        if all(message.request.id != ident for message in self.waiting):
             self.left.add(ident)
             self.b.handle(dispatcher.ClientGone(ident))
 
     @rule(ms=st.floats(0.0, 400.0))
     def pass_time(self, ms):
         self.now += ms
-        self.b.ring(self.now)
-        self.b.expire(self.now)
+        self.b.run_timers(self.now)
+        self.b.expire_requests(self.now)
         self.collect()
 
     @invariant()
     def one_answer_each_and_sums_that_add_up(self):
         assert all(len(got) <= 1 for got in self.answers.values())
-        assert unaccounted_requests(self.b.counters.counts, len(self.b.open)) == 0
+        assert unaccounted_requests(self.b.counters.counts, len(self.b.open_requests)) == 0
 
     @invariant()
     def none_is_left_open_past_its_time(self):
-        if self.now >= self.b.look_at - dispatcher.DEADLINE_SLACK_MS:
-            looked = self.b.look_at - dispatcher.DEADLINE_SLACK_MS
+        if self.now >= self.b.next_expiry_check - dispatcher.DEADLINE_SLACK_MS:
+            looked = self.b.next_expiry_check - dispatcher.DEADLINE_SLACK_MS
             assert all(
-                x.taken.rq.deadline + dispatcher.DEADLINE_SLACK_MS >= looked for x in self.b.open.values()
+                x.received.request.deadline + dispatcher.DEADLINE_SLACK_MS >= looked
+                for x in self.b.open_requests.values()
             )
 
     def teardown(self):
         self.work(len(self.waiting))
         self.now += 2 * 900.0
-        self.b.expire(self.now)
+        self.b.expire_requests(self.now)
         for ident, got in self.answers.items():
             assert len(got) == 1 or ident in self.left, ident
-        assert not self.b.open
+        assert not self.b.open_requests
         for job in self.out:
-            self.b.end(upstream_server.AttemptResult(job, i.Outcome.RESET, 1.0, ENDS[i.Outcome.RESET]))
-        self.b.settle()
-        assert not self.b.ids  # nothing grows with reqs
+            self.b.attempt_ended(
+                upstream_server.AttemptResult(job, i.Outcome.RESET, 1.0, ENDS[i.Outcome.RESET])
+            )
+        self.b.process_ended_attempts()
+        assert not self.b.ids_in_use  # nothing grows with reqs
 
 
 Account.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
 TestAccount = Account.TestCase
 
 
-@pytest.mark.parametrize("guard", ["expire", "let_go"])
+@pytest.mark.parametrize("guard", ["expire_requests", "release_id"])
 def test_a_guard_broken_on_purpose_is_caught(monkeypatch, guard):
     monkeypatch.setattr(dispatcher.Dispatcher, guard, lambda self, of: None)
     with pytest.raises(AssertionError):
@@ -140,7 +146,7 @@
     account.b.log = lambda event, **fields: lines.append((event, fields.get("reqs")))
     account.arrive(0, 500.0, 0.0)
     account.work(1)
-    account.b.open.clear()
+    account.b.open_requests.clear()
     account.pass_time(100.0)
     account.pass_time(100.0)
     assert [x for x in lines if x[0] == "account off"] == [("account off", 1)]
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -34,7 +34,9 @@
     flood(b, 5000)
     runs = gevent.spawn(b.run)
     # What the try's greenlet does as its answer comes, while the actor works its mailbox off.
-    b.end(upstream_server.AttemptResult(job, i.Outcome.COMPLETED, 5.0, UpstreamResponse(200, [], [b"hi"])))
+    b.attempt_ended(
+        upstream_server.AttemptResult(job, i.Outcome.COMPLETED, 5.0, UpstreamResponse(200, [], [b"hi"]))
+    )
     while not answers:
         gevent.sleep(0)
     taken_by_then = b.counters.counts["reqs_taken"]
@@ -47,12 +49,12 @@
     m = upstream_server.UpstreamServer(
         AT, told, Clock(), Counters(), upstream_server.ConnectionBudget(9), got.append, lambda job: True
     )
-    monkeypatch.setattr(m, "take", lambda: 1 / 0)
+    monkeypatch.setattr(m, "take_idle", lambda: 1 / 0)
     job = upstream_server.AttemptJob(1, 0, 0, dispatcher.Message(), m.clock(), m.clock() + 900.0, ())
     m.mailbox.put(upstream_server.StartAttempt(job))
     with pytest.raises(ZeroDivisionError):
         m.run()
-    assert [(x.job, x.end) for x in got] == [(job, i.Outcome.MOOT)] and not m.out
+    assert [(x.job, x.outcome) for x in got] == [(job, i.Outcome.MOOT)] and not m.running
 
 
 def test_a_fault_while_a_req_is_read_is_told_to_its_client(monkeypatch):
@@ -69,15 +71,15 @@
     lines = []
     b = build_brain(discovery_entry("s-1", AT))
     start = b.clock()
-    b.overdue = RateLimitedWarnings(
+    b.overdue_warnings = RateLimitedWarnings(
         lambda event, **fields: lines.append((fields["txn"], fields.get("left_out"))), 2
     )
     for n in range(1, 7):
         taken(b, n, within=900.0)
     b.clock = lambda: start + 1000.0
-    b.expire(start + 1000.0)
+    b.expire_requests(start + 1000.0)
     assert lines == [("a1", None), ("a2", None)]
-    b.overdue("answer overdue", start + 2000.0, txn="z")
+    b.overdue_warnings("answer overdue", start + 2000.0, txn="z")
     assert lines[-1] == ("z", 4) and b.counters.counts["answers_overdue"] == 6
 
 
@@ -101,15 +103,17 @@
     d, waiting = build_door()
     kept, fresh = client(d), client(d)
     kept.sendall(GOOD)
-    waiting.get().answer(response.shed(0.0))
+    waiting.get().respond(response.shed(0.0))
     assert status(kept)[0] == 503
     gevent.sleep(0.01)
     before = d.clock()
     held_loop(d, [kept, fresh], 100.0)
     for _ in range(2):
         message = waiting.get()
-        assert before + 480 <= message.rq.deadline + 6.0 and message.rq.deadline <= before + 480 + 20.0
-        assert message.age >= 90.0
+        assert (
+            before + 480 <= message.request.deadline + 6.0 and message.request.deadline <= before + 480 + 20.0
+        )
+        assert message.read_delay_ms >= 90.0
 
 
 def test_a_req_whose_time_is_over_before_it_is_read_is_refused_at_once_and_says_so():
@@ -124,7 +128,7 @@
     code, head, _ = status(short)
     assert code == 503 and b"Retry-After: 0.500" in head
     assert lines == [("req refused unread", "2", "OVER")]
-    assert waiting.get().rq.id and waiting.empty()  # the other one had time left
+    assert waiting.get().request.id and waiting.empty()  # the other one had time left
 
 
 def test_a_hundred_reqs_beyond_all_descriptors_are_refused_at_once_and_those_held_answered():
@@ -142,14 +146,14 @@
         assert code == 503 and b"Connection: close" in head and b"Retry-After" in head
     assert waiting.empty() and len(d.clients) <= d.most + d.BRIEF
     for message in messages:
-        message.answer(response.bad_gateway())
+        message.respond(response.bad_gateway())
     assert [status(sock)[0] for sock in held] == [502] * 3
     assert d.counters.counts["reqs_full"] == 100
 
 
 def handed(b):
     """The tries in the mailboxes of all machines."""
-    waiting = [a.mailbox.get() for a in b.machines.values() for _ in range(a.mailbox.qsize())]
+    waiting = [a.mailbox.get() for a in b.servers.values() for _ in range(a.mailbox.qsize())]
     return [m.job for m in waiting if isinstance(m, upstream_server.StartAttempt)]
 
 
@@ -161,20 +165,20 @@
     assert len(jobs) == 300
     gone = [e | {"lifecycle": "terminated"} for e in entries[:150]]
     told = {"generation": 8, "reset": False, "instances": gone}
-    b.tell(server_listing(told, {"here": 0}, {"small": 0}))
-    b.hear()
-    forbidden = [job for job in jobs if not b.stands(job)]
-    assert {job.machine for job in forbidden} == {job.machine for job in jobs if job.machine < 150}
+    b.post_update(server_listing(told, {"here": 0}, {"small": 0}))
+    b.apply_updates()
+    forbidden = [job for job in jobs if not b.preconditions_hold(job)]
+    assert {job.server for job in forbidden} == {job.server for job in jobs if job.server < 150}
     for job in jobs:
         if job in forbidden:
             ends(b, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
         else:
             ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
     again = handed(b)
-    assert len(again) == len(forbidden) and all(job.machine >= 150 for job in again)
+    assert len(again) == len(forbidden) and all(job.server >= 150 for job in again)
     for job in again:
         ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
     assert all([a.status for a in got] == [200] for got in answers) and balanced(b)
-    b.tell(server_listing(told | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0}))
-    b.hear()  # those that had tries out go with the next list
-    assert len(b.machines) == 1024 - 150 and not b.ids
+    b.post_update(server_listing(told | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0}))
+    b.apply_updates()  # those that had tries out go with the next list
+    assert len(b.servers) == 1024 - 150 and not b.ids_in_use
--- a/tests/test_answers_faults.py
+++ b/tests/test_answers_faults.py
@@ -19,10 +19,10 @@
 def test_a_req_that_nothing_ends_is_answered_as_failed_at_its_time():
     b = build_brain(discovery_entry("s-1", AT))
     answers, others = taken(b, 1, within=20.0), taken(b, 2, within=900.0)
-    b.expire(b.clock())
+    b.expire_requests(b.clock())
     assert not answers
-    b.look_at = 0.0
-    b.expire(b.clock() + 20.0 + dispatcher.DEADLINE_SLACK_MS + 1)
+    b.next_expiry_check = 0.0
+    b.expire_requests(b.clock() + 20.0 + dispatcher.DEADLINE_SLACK_MS + 1)
     assert [a.status for a in answers] == [502] and not others
     assert b.counters.counts["reqs_expired"] == 1 and balanced(b)
     late, _ = sent(b)
@@ -48,28 +48,28 @@
     b = build_brain(discovery_entry("s-1", AT))
     answers, others = taken(b, 1), taken(b, 2)
     job, _ = sent(b)
-    monkeypatch.setattr(b, "load", lambda message: 1 / 0)
+    monkeypatch.setattr(b, "load_report", lambda message: 1 / 0)
     result = (
         UpstreamResponse(200)
         if end == i.Outcome.COMPLETED
         else ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED)
     )
-    b.ends.append(upstream_server.AttemptResult(job, end, 5.0, result))
-    b.settle()
+    b.ended_attempts.append(upstream_server.AttemptResult(job, end, 5.0, result))
+    b.process_ended_attempts()
     assert [a.status for a in answers] == [502] and not others
     assert b.counters.counts["faults"] == 1 and balanced(b)
 
 
 def test_a_fault_as_a_req_is_taken_answers_it_at_once(monkeypatch):
     b = build_brain(discovery_entry("s-1", AT))
-    monkeypatch.setattr(b, "late_by", lambda *args: 1 / 0)
+    monkeypatch.setattr(b, "record_delay", lambda *args: 1 / 0)
     answers = []
     rq, message = (
         i.Request(1, 0, 0, None, b.clock() + 900.0, 0.0, False),
         dispatcher.Message(fields={b"x-txn": b"1"}),
     )
     b.handle(dispatcher.RequestReceived(rq, message, b.clock(), answers.append))
-    assert [a.status for a in answers] == [502] and not b.open
+    assert [a.status for a in answers] == [502] and not b.open_requests
 
 
 def test_a_fault_in_a_reader_leaves_the_held_req_its_answer(monkeypatch):
@@ -82,7 +82,7 @@
     sock.sendall(b"more")
     while not d.counters.counts["faults"]:
         gevent.sleep(0.001)
-    message.answer(response.bad_gateway())
+    message.respond(response.bad_gateway())
     assert status(sock)[0] == 502 and waiting.empty()
 
 
@@ -91,8 +91,8 @@
     sock = client(d)
     sock.sendall(GOOD)
     message = waiting.get()
-    message.answer(response.bad_gateway())
-    message.answer(response.shed(0.0))
+    message.respond(response.bad_gateway())
+    message.respond(response.shed(0.0))
     assert status(sock)[0] == 502
     sock.settimeout(0.02)
     with pytest.raises(socket.timeout):
@@ -119,13 +119,13 @@
         held_loop(d, socks, 30.0)
         gevent.sleep(0.005)
         while waiting.qsize():
-            waiting.get().answer(response.shed(0.0))
+            waiting.get().respond(response.shed(0.0))
             took += 1
         assert {status(sock)[0] for sock in socks} == {503}
     assert took == 30 and d.counters.counts["reqs_unread_standing"] == 60
     gevent.sleep(0.02)
     socks[0].sendall(GOOD)
-    assert waiting.get().age < 10.0
+    assert waiting.get().read_delay_ms < 10.0
 
 
 def test_a_req_that_waited_in_our_own_mailbox_is_refused_before_the_module_sees_it(monkeypatch):
@@ -137,7 +137,7 @@
     )
     b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 40.0, answers.append, 20.0))
     assert not answers  # it has time left, and one wait is no standing queue
-    b.entry.above_target_since = b.clock() - 1000.0
+    b.admission.above_target_since = b.clock() - 1000.0
     b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 70.0, answers.append, 20.0))
     assert [a.status for a in answers] == [503] and b.counters.counts["reqs_waited_standing"] == 1
     assert b.counters.counts["reqs_taken"] == 1 and balanced(b)
@@ -151,7 +151,7 @@
     (held,) = d.clients
     held.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     body = b"x" * 400_000
-    message.answer(response.completed(UpstreamResponse(200, [], [body])))
+    message.respond(response.completed(UpstreamResponse(200, [], [body])))
     assert held.written is not None
     code, _, got = status(sock)
     assert code == 200 and got == body
@@ -163,7 +163,7 @@
     sock.sendall(GOOD)
     final = response.completed(UpstreamResponse(200))
     monkeypatch.setattr(final, "status", 9999)
-    waiting.get().answer(final)
+    waiting.get().respond(final)
     assert status(sock)[0] == 502 and d.counters.counts["faults"] == 1
     assert sock.recv(1) == b""
     while d.clients:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -307,13 +307,13 @@
     v = version.read(
         b'version 1\nroutes { route "look" timeout=(ms)900 most-tries=1 }\ntrial most-share=0.05'
     )
-    bounds = rules.effective_limits(v.entries, told.bounds())
+    bounds = rules.effective_limits(v.entries, told.limits())
     got = narrowed_settings(told.facts, bounds, ["look", "book"], ["acme"])
     look, book = got.settings.routes
     assert (look.timeout_ms, look.objective_ms, look.max_attempts) == (900.0, 800.0, 1)
     assert (book.timeout_ms, book.max_attempts, got.max_trial_share) == (2000.0, 3, 0.05)
     wide = version.read(b'version 1\nroutes { route "look" timeout=(s)90 most-tries=99 }')
     got = narrowed_settings(
-        told.facts, rules.effective_limits(wide.entries, told.bounds()), ["look", "book"], ["acme"]
+        told.facts, rules.effective_limits(wide.entries, told.limits()), ["look", "book"], ["acme"]
     )
     assert got.settings.routes[0].timeout_ms == 2000.0 and got.settings.routes[0].max_attempts == 3
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -35,7 +35,7 @@
     d, taken = build_door()
     before = d.clock()
     client(d).sendall(GOOD.replace(b"\r\n\r\n", b"\r\nX-Resent: 1\r\n\r\n"))
-    rq = taken.get().rq
+    rq = taken.get().request
     assert (rq.route, rq.tenant, rq.dedup_key, rq.is_repeat) == (0, 0, None, True)
     assert before + 480 <= rq.deadline <= d.clock() + 480
 
@@ -45,14 +45,14 @@
     sock = client(d)
     for come_back, line in ((0.0, None), (250.0, b"Retry-After: 0.250")):
         sock.sendall(GOOD)
-        taken.get().answer(response.shed(come_back))
+        taken.get().respond(response.shed(come_back))
         code, head, _ = status(sock)
         assert code == 503 and (line is None or line in head) and b"close" not in head
     sock.sendall(GOOD)
     answer = response.UpstreamResponse(
         200, [(b"Content-Type", b"a/b"), (b"X-Pressure", b"TEXT active=1")], [b"he", b"y"]
     )
-    taken.get().answer(response.completed(answer))
+    taken.get().respond(response.completed(answer))
     code, head, body = status(sock)
     assert (code, body) == (200, b"hey") and b"a/b" in head and b"Pressure" not in head
 
@@ -105,7 +105,7 @@
     d, taken = build_door()
     sock = client(d)
     sock.sendall(GOOD)
-    ident = taken.get().rq.id
+    ident = taken.get().request.id
     sock.close()
     assert taken.get() == ClientGone(ident)
     assert not d.clients
@@ -118,7 +118,7 @@
     message = taken.get()
     sock.close()
     taken.get()
-    message.answer(response.bad_gateway())
+    message.respond(response.bad_gateway())
     other = client(d)
     other.sendall(GOOD)
     assert isinstance(taken.get(), RequestReceived)
@@ -140,7 +140,7 @@
     more[-1].sendall(GOOD)
     assert isinstance(taken.get(), RequestReceived)
     assert idle.recv(1) == b""
-    held.answer(response.bad_gateway())
+    held.respond(response.bad_gateway())
     assert status(holding)[0] == 502
 
 
@@ -152,7 +152,7 @@
         message = taken.get()
         gevent.sleep(0)
         assert taken.empty()
-        message.answer(response.shed(0.0))
+        message.respond(response.shed(0.0))
         assert status(sock)[0] == 503
 
 
@@ -161,7 +161,7 @@
     d, taken = build_door()
     sock = client(d)
     sock.sendall(GOOD * 2)
-    ident = taken.get().rq.id
+    ident = taken.get().request.id
     sock.close()
     assert taken.get() == ClientGone(ident) and not d.clients
 
@@ -189,7 +189,7 @@
     sock.sendall(GOOD)
     message = taken.get()
     gevent.sleep(0.03)
-    message.answer(response.bad_gateway())
+    message.respond(response.bad_gateway())
     assert status(sock)[0] == 502
 
 
@@ -219,7 +219,7 @@
     silent_ones = [client(d) for _ in range(60)]
     sock = client(d)
     sock.sendall(GOOD)
-    taken.get().answer(response.shed(0.0))
+    taken.get().respond(response.shed(0.0))
     assert status(sock)[0] == 503 and len(d.clients) <= 8 and len(silent_ones) == 60
 
 
@@ -227,14 +227,14 @@
     d, taken = build_door(sockets=100)
     few = client(d)
     few.sendall(GOOD)
-    taken.get().answer(response.shed(0.0))
+    taken.get().respond(response.shed(0.0))
     assert b"Connection: close" not in status(few)[1]
     held = [client(d) for _ in range(26)]
     few.sendall(GOOD)
     message = taken.get()
     while len(d.clients) < 27:
         gevent.sleep(0.001)
-    message.answer(response.shed(0.0))
+    message.respond(response.shed(0.0))
     code, head, _ = status(few)
     assert code == 503 and b"Connection: close" in head and len(held) == 26
     assert few.recv(1) == b""
@@ -247,12 +247,12 @@
     held = taken.get()
     d.stopping, at = True, d.sock.getsockname()
     late.sendall(GOOD)
-    taken.get().answer(response.shed(0.0))
+    taken.get().respond(response.shed(0.0))
     code, head, _ = status(late)
     assert code == 503 and b"Connection: close" in head
     d.shut(d.clock())
     assert idle.recv(1) == b""
-    held.answer(response.bad_gateway())
+    held.respond(response.bad_gateway())
     assert status(holding)[0] == 502
     with pytest.raises(ConnectionError):
         socket.create_connection(at)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -38,17 +38,17 @@
     answers = []
     rq = i.Request(ident, route, 0, None, b.clock() + within, 0.0, False)
     message = Message(b"GET", b"/api", fields={b"x-txn": word or b"a%d" % ident})
-    b.take(dispatcher.RequestReceived(rq, message, b.clock(), answers.append), b.clock())
+    b.process(dispatcher.RequestReceived(rq, message, b.clock(), answers.append), b.clock())
     return answers
 
 
 def sent(b):
-    (actor,) = b.machines.values()
+    (actor,) = b.servers.values()
     return [m.job for m in iter(lambda: actor.mailbox.get() if actor.mailbox.qsize() else None, None)]
 
 
 def ends(b, job, result, end):
-    b.take(upstream_server.AttemptResult(job, end, 5.0, result), b.clock())
+    b.process(upstream_server.AttemptResult(job, end, 5.0, result), b.clock())
 
 
 def change(**changes):
@@ -57,7 +57,7 @@
 
 
 def balanced(b):
-    return unaccounted_requests(b.counters.counts, len(b.open)) == 0
+    return unaccounted_requests(b.counters.counts, len(b.open_requests)) == 0
 
 
 def test_a_completed_try_answers_its_req_with_the_machines_body():
@@ -67,7 +67,7 @@
     assert not answers and balanced(b)
     ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
     assert [(a.status, a.body) for a in answers] == [(200, [b"hi"])]
-    assert not b.open and balanced(b)
+    assert not b.open_requests and balanced(b)
 
 
 def test_tries_of_a_req_are_numbered_and_its_end_is_never_passed():
@@ -81,16 +81,16 @@
         i.Outcome.NOT_CONNECTED,
     )
     (second,) = sent(b)
-    assert (first.try_no, second.try_no) == (0, 1)
-    assert second.ends_at <= first.ends_at + 1
+    assert (first.attempt_number, second.attempt_number) == (0, 1)
+    assert second.deadline <= first.deadline + 1
 
 
 def test_a_client_that_left_is_owed_nothing_and_its_try_still_tells():
     b = build_brain(discovery_entry("s-1", AT))
     answers = taken(b)
     (job,) = sent(b)
-    b.take(dispatcher.ClientGone(1), b.clock())
-    assert balanced(b) and not b.open
+    b.process(dispatcher.ClientGone(1), b.clock())
+    assert balanced(b) and not b.open_requests
     (known,) = b.balancer.servers.values()
     assert known.in_flight
     ends(b, job, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
@@ -109,7 +109,7 @@
 def test_a_fault_at_the_modules_wake_does_not_end_its_clock(monkeypatch):
     b = build_brain()
     monkeypatch.setattr(b.balancer, "wake", lambda now: 1 / 0)
-    b.ring(b.clock() + 1000)
+    b.run_timers(b.clock() + 1000)
     assert b.counters.counts["faults"] == 1 and len(b.timers) == 1
 
 
@@ -123,7 +123,7 @@
     early, late = taken(b, 1), taken(b, 2)
     (job, _) = sent(b)
     ends(b, job, ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED), i.Outcome.RESET)
-    b.ring(b.clock() + 60)
+    b.run_timers(b.clock() + 60)
     assert [a.head for a in early] == [[]] and [a.head for a in late] == [[b"Retry-After: 0.001\r\n"]]
 
 
@@ -134,32 +134,32 @@
     b = build_brain(discovery_entry("s-1", AT))
     taken(b)
     (job,) = sent(b)
-    assert b.stands(job)
-    b.take(change(**what), b.clock())
-    assert not b.stands(job)
+    assert b.preconditions_hold(job)
+    b.process(change(**what), b.clock())
+    assert not b.preconditions_hold(job)
 
 
 def test_a_cap_that_fell_before_the_write_forbids_it():
     b = build_brain(discovery_entry("s-1", AT, version_no=2))
     news = i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.ON_TRIAL, 1.0, 0.0)
-    b.take(news, b.clock())
+    b.process(news, b.clock())
     taken(b)
     (job,) = sent(b)
-    assert b.stands(job)
-    b.take(i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.GOING_BACK, 0.0, 0.0), b.clock())
-    assert not b.stands(job)
+    assert b.preconditions_hold(job)
+    b.process(i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.GOING_BACK, 0.0, 0.0), b.clock())
+    assert not b.preconditions_hold(job)
 
 
 def test_machines_leave_and_move_with_the_list():
     b = build_brain(discovery_entry("s-1", AT))
-    (actor,) = b.machines.values()
-    b.take(change(hostPort="127.0.0.1:10"), b.clock())
+    (actor,) = b.servers.values()
+    b.process(change(hostPort="127.0.0.1:10"), b.clock())
     assert actor.mailbox.get() == upstream_server.ServerAddressChanged(("127.0.0.1", 10))
-    b.take(change(lifecycle="terminated"), b.clock())
+    b.process(change(lifecycle="terminated"), b.clock())
     assert (
         isinstance(actor.mailbox.get(), upstream_server.ServerAddressChanged | upstream_server.ServerRemoved)
-        and not b.machines
-        and not b.places
+        and not b.servers
+        and not b.server_places
     )
 
 
@@ -185,9 +185,9 @@
 def test_a_log_that_nobody_reads_drops_lines_and_counts_them():
     reader, writer = os.pipe()
     log = Log(Clock(), writer)
-    for n in range(Log.KEPT + 5):
+    for n in range(Log.MAX_LINES + 5):
         log("event", n=n)
-    assert len(log.lines) == Log.KEPT and log.dropped == 5
+    assert len(log.lines) == Log.MAX_LINES and log.dropped == 5
     assert orjson.loads(log.lines[0])["event"] == "event"
     os.close(reader)
     os.close(writer)
@@ -206,9 +206,9 @@
 def test_a_second_copy_of_an_answer_is_not_sent():
     b = build_brain(discovery_entry("s-1", AT))
     answers = taken(b)
-    held = b.open[1]
-    b.answer(held, response.bad_gateway())
-    b.answer(held, response.shed(0.0))
+    held = b.open_requests[1]
+    b.respond(held, response.bad_gateway())
+    b.respond(held, response.shed(0.0))
     assert [a.status for a in answers] == [502] and balanced(b)
 
 
@@ -217,19 +217,19 @@
     first = taken(b, 1, word=b"same")
     assert [a.status for a in taken(b, 2, word=b"same")] == [409]
     (job,) = sent(b)
-    b.take(dispatcher.ClientGone(1), b.clock())
+    b.process(dispatcher.ClientGone(1), b.clock())
     assert [a.status for a in taken(b, 3, word=b"same")] == [409] and not first  # its try may still run
     ends(b, job, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
-    assert not b.ids and taken(b, 4, word=b"same") == [] and len(sent(b)) == 1
+    assert not b.ids_in_use and taken(b, 4, word=b"same") == [] and len(sent(b)) == 1
 
 
 def test_an_attempt_that_waited_for_its_connection_is_written_after_its_client_has_left():
     b = build_brain(discovery_entry("s-1", AT))
     taken(b)
     (job,) = sent(b)
-    assert b.stands(job)
-    b.take(dispatcher.ClientGone(1), b.clock())
-    assert not b.stands(job) and b.counters.counts["sends_stopped_by_leaving"] == 1
+    assert b.preconditions_hold(job)
+    b.process(dispatcher.ClientGone(1), b.clock())
+    assert not b.preconditions_hold(job) and b.counters.counts["sends_stopped_by_leaving"] == 1
 
 
 def build_front(machine_talk, times=1):
@@ -264,7 +264,7 @@
     monkeypatch.setenv("NODE_CONFIG", str(file))
     program = front.Front(build_node_config(), os.open(os.devnull, os.O_WRONLY))
     program.log = lambda event, **fields: lines.append((event, fields))
-    moved = [actor.mailbox for actor in (program.roster, program.bulletin, program.desk)]
+    moved = [actor.mailbox for actor in (program.discovery, program.stage_updates, program.vote_caster)]
     for text in (b"", b'{"listen":', orjson.dumps(build_config(discovery=("nowhere", 99999)))):
         file.write_bytes(text)
         program.reload()
@@ -276,7 +276,7 @@
         node_config.AddressChanged(("127.0.0.1", port)) for port in (11, 12, 12)
     ]
     assert lines[-1][1]["kept_as_started"] == ["sockets"]
-    program.door.sock.close()
+    program.client_listener.sock.close()
 
 
 def test_a_req_held_at_sigterm_is_answered_and_the_front_ends():
@@ -289,7 +289,7 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 
     program, running, reader = build_front(talk)
-    client = socket.create_connection(program.door.sock.getsockname())
+    client = socket.create_connection(program.client_listener.sock.getsockname())
     client.sendall(REQ)
     came.get()
     program.on_term()
@@ -314,7 +314,7 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 
     program, running, reader = build_front(talk, many + 1)
-    at = program.door.sock.getsockname()
+    at = program.client_listener.sock.getsockname()
     clients = [socket.create_connection(at) for _ in range(many + 1)]
     reqs = [REQ.replace(b"X-Txn: 1", b"X-Txn: t%d" % n) for n in range(many + 1)]
     for client, text in zip(clients[1:], reqs[1:], strict=True):
@@ -333,6 +333,8 @@
     running.join()
     gc.unfreeze()
     counts = program.counters.counts
-    assert counts["reqs_taken"] == counts["reqs_completed"] == many + 1 and not program.brain.open
+    assert (
+        counts["reqs_taken"] == counts["reqs_completed"] == many + 1 and not program.dispatcher.open_requests
+    )
     events = [orjson.loads(line)["event"] for line in os.read(reader, 65536).splitlines()]
     assert events[-2:] == ["counters", "stopped"]
--- a/tests/test_lists_first.py
+++ b/tests/test_lists_first.py
@@ -100,7 +100,7 @@
         return chunk(orjson.dumps({"generation": version, "reset": reset, "instances": rows}) + b"\n")
 
     def connect(self, clients):
-        at = self.front.door.sock.getsockname()
+        at = self.front.client_listener.sock.getsockname()
         self.clients += [plain.create_connection(at) for _ in range(clients)]
         gevent.sleep(0.02)
 
@@ -154,7 +154,7 @@
     yield make
     for h in made:
         h.running.kill()
-        h.front.door.sock.close()
+        h.front.client_listener.sock.close()
 
 
 @pytest.mark.parametrize("clients", [1, 60, CROWD])
@@ -220,7 +220,7 @@
     h.warm(20)
     h.rows.append(discovery_entry("s-2", h.second.at))
     gevent.sleep(
-        1.1 - (h.front.clock() - h.front.roster.following.streams[0].first_message_at) / 1000
+        1.1 - (h.front.clock() - h.front.discovery.stream_follower.streams[0].first_message_at) / 1000
     )  # it stood
     sock, text = h.discovery.conns.pop(), h.listing(9, {"lifecycle": "terminating"}, {})
     sock.send(text if line == "whole" else text[:90])
@@ -232,14 +232,14 @@
     gevent.sleep(0.02)
     h.ask()
     met, _ = h.answered()
-    assert met[0] == 0 and met[1] > 0 and h.front.roster.following.freshness == i.ListFreshness.FRESH
+    assert met[0] == 0 and met[1] > 0 and h.front.discovery.stream_follower.freshness == i.ListFreshness.FRESH
 
 
 def test_a_loop_held_for_300_ms_takes_no_silence_for_the_other_sides(held):
     h = held()
     h.warm(CROWD)
     h.rows.append(discovery_entry("s-2", h.second.at))
-    h.front.roster.following.streams[0].last_received_at -= 4400.0  # almost two signs ago
+    h.front.discovery.stream_follower.streams[0].last_received_at -= 4400.0  # almost two signs ago
     h.discovery.conns[0].send(h.listing(9, {"lifecycle": "terminating"}, {}))
     h.ask()
     time.sleep(0.3)
@@ -307,11 +307,11 @@
 
 def test_a_follower_whose_messages_another_takes_wakes_for_what_they_made_due(held):
     h = held()
-    roster = h.front.roster
+    roster = h.front.discovery
     gevent.sleep(0.01)  # it sleeps until the next sign of life is late
     stream = roster.streams[0]
     roster.mailbox.put(StreamEnded(stream, "reset"))
-    roster.settle()  # as the brain's look does
+    roster.process_mailbox()  # as the brain's look does
     at = h.front.clock()
     while len(h.discovery.conns) < 2:
         gevent.sleep(0.001)
@@ -331,7 +331,7 @@
     )
     h.discovery.conns[0].send(text)
     met, _ = h.answered()
-    known = next(iter(h.front.brain.balancer.servers.values()))
+    known = next(iter(h.front.dispatcher.balancer.servers.values()))
     assert known.entry.build == 2 and met[0] <= 1 + 0.1 * h.number  # the first stage's cap
 
 
@@ -353,7 +353,7 @@
         "reset": False,
         "instances": [discovery_entry("s-1", ("127.0.0.1", 9), lifecycle="terminating")],
     }
-    b.tell(server_listing(m, {"here": 0}, {"small": 0}))
+    b.post_update(server_listing(m, {"here": 0}, {"small": 0}))
     gevent.sleep(0.001)
     while b.mailbox.qsize():
         gevent.sleep(0.001)
@@ -365,7 +365,7 @@
     h, other = held(), Listener()
     h.warm(1)
     reset(h.discovery.conns.pop())
-    h.front.roster.post(AddressChanged(other.at))
+    h.front.discovery.post(AddressChanged(other.at))
     text = h.listing(3, reset=True)  # a numbering of its own
     other.opened().send(HEAD + text)
     h.rows.append(discovery_entry("s-2", h.second.at))
@@ -374,4 +374,4 @@
     gevent.sleep(0.02)
     h.ask()
     met, _ = h.answered()
-    assert met == [0, 1] and h.front.roster.book.version == 4
+    assert met == [0, 1] and h.front.discovery.server_list.version == 4
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -20,7 +20,7 @@
     b.log = Log(Clock(), os.open(os.devnull, os.O_WRONLY), "debug")
     taken(b, word=b"abc")
     (job,) = sent(b)
-    assert b.stands(job)
+    assert b.preconditions_hold(job)
     (line,) = lines(b.log)
     assert (line["event"], line["txn"], line["server"], line["attempt"]) == ("attempt", "abc", "s-1", 0)
     assert line["list_age_ms"] >= 0.0
@@ -31,7 +31,7 @@
     b.log = Log(Clock(), os.open(os.devnull, os.O_WRONLY))
     taken(b)
     (job,) = sent(b)
-    assert b.stands(job) and not b.log.lines
+    assert b.preconditions_hold(job) and not b.log.lines
 
 
 def test_a_level_that_does_not_exist_is_named():
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -55,7 +55,7 @@
     actor, ended = build_machine(peer.address)
     for ident in (1, 2):
         got = tried(actor, ended, ident=ident)
-        assert got.end == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
+        assert got.outcome == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
         gevent.sleep(0)
     assert peer.connections == 1
 
@@ -66,13 +66,13 @@
         read_request(sock)
         sock.sendall(OK[:cut])
 
-    assert tried(*build_machine(Peer(talk).address)).end == i.Outcome.RESET
+    assert tried(*build_machine(Peer(talk).address)).outcome == i.Outcome.RESET
 
 
 def test_a_refused_connection_never_ran():
     peer = Peer()
     peer.sock.close()
-    assert tried(*build_machine(peer.address)).end == i.Outcome.NOT_CONNECTED
+    assert tried(*build_machine(peer.address)).outcome == i.Outcome.NOT_CONNECTED
 
 
 def test_a_descriptor_that_we_lack_is_not_the_machines_fault(monkeypatch):
@@ -81,7 +81,7 @@
 
     actor, ended = build_machine(Peer(answering(OK)).address)
     monkeypatch.setattr(upstream_server.socket, "socket", none_left)
-    assert tried(actor, ended).end == i.Outcome.MOOT
+    assert tried(actor, ended).outcome == i.Outcome.MOOT
 
 
 def test_a_second_copy_right_behind_is_nobodys_answer():
@@ -89,7 +89,7 @@
     actor, ended = build_machine(peer.address)
     for ident in (1, 2):
         got = tried(actor, ended, ident=ident)
-        assert got.end == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
+        assert got.outcome == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
         gevent.sleep(0)
     assert peer.connections == 2
 
@@ -104,10 +104,10 @@
 
     peer = Peer(first, answering(OK))
     actor, ended = build_machine(peer.address)
-    assert tried(actor, ended, within=30.0).end == i.Outcome.TIMEOUT
+    assert tried(actor, ended, within=30.0).outcome == i.Outcome.TIMEOUT
     late.set()
     got = tried(actor, ended, ident=2)
-    assert got.end == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
+    assert got.outcome == i.Outcome.COMPLETED and b"".join(got.result.body) == b"hi"
     assert peer.connections == 2
 
 
@@ -118,10 +118,10 @@
 
     peer = Peer(first, answering(OK))
     actor, ended = build_machine(peer.address)
-    assert tried(actor, ended).end == i.Outcome.COMPLETED
-    while not actor.idle or not upstream_server.http1.is_stale(actor.idle[-1].sock):
+    assert tried(actor, ended).outcome == i.Outcome.COMPLETED
+    while not actor.idle_connections or not upstream_server.http1.is_stale(actor.idle_connections[-1].sock):
         gevent.sleep(0.001)
-    assert tried(actor, ended, ident=2).end == i.Outcome.COMPLETED
+    assert tried(actor, ended, ident=2).outcome == i.Outcome.COMPLETED
     assert peer.connections == 2
 
 
@@ -133,7 +133,7 @@
         came.append(sock.recv(100))
 
     actor, ended = build_machine(Peer(talk).address, stands=lambda job: False)
-    assert tried(actor, ended).end == i.Outcome.MOOT
+    assert tried(actor, ended).outcome == i.Outcome.MOOT
     gevent.sleep(0)
     actor.mailbox.put(upstream_server.ServerRemoved())
     while not came:
@@ -142,14 +142,14 @@
 
 
 def test_a_try_without_time_left_is_moot():
-    assert tried(*build_machine(("127.0.0.1", 9)), within=0.0).end == i.Outcome.MOOT
+    assert tried(*build_machine(("127.0.0.1", 9)), within=0.0).outcome == i.Outcome.MOOT
 
 
 def test_a_try_called_off_before_it_began_still_ends():
     actor, ended = build_machine(Peer(answering(OK)).address)
     actor.mailbox.put(upstream_server.StartAttempt(job()))
     actor.mailbox.put(upstream_server.StopAttempt(1, 0))
-    assert ended.get().end in (i.Outcome.CANCELLED, i.Outcome.NOT_CONNECTED)
+    assert ended.get().outcome in (i.Outcome.CANCELLED, i.Outcome.NOT_CONNECTED)
 
 
 def test_a_try_called_off_after_it_was_written_may_have_run():
@@ -164,7 +164,7 @@
     actor.mailbox.put(upstream_server.StartAttempt(job()))
     written.wait()
     actor.mailbox.put(upstream_server.StopAttempt(1, 0))
-    assert ended.get().end == i.Outcome.CANCELLED
+    assert ended.get().outcome == i.Outcome.CANCELLED
 
 
 def test_another_start_drops_the_old_connections():
@@ -178,9 +178,9 @@
 
 def test_connections_over_their_share_are_not_kept():
     actor, ended = build_machine(Peer(answering(OK)).address, most=0)
-    assert tried(actor, ended).end == i.Outcome.COMPLETED
+    assert tried(actor, ended).outcome == i.Outcome.COMPLETED
     gevent.sleep(0)
-    assert actor.idle == [] and actor.share.open == 0
+    assert actor.idle_connections == [] and actor.budget.in_use == 0
 
 
 def test_what_is_not_http_may_have_run():
@@ -188,4 +188,4 @@
         read_request(sock)
         sock.sendall(b"garbage\r\n\r\n")
 
-    assert tried(*build_machine(Peer(talk).address)).end == i.Outcome.RESET
+    assert tried(*build_machine(Peer(talk).address)).outcome == i.Outcome.RESET
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -54,25 +54,25 @@
 def told_by(follower, connection, text, cut=None):
     """What the follower does of these bytes, which came on the connection in two reads."""
     for chunk in (text[:cut], text[cut:] if cut else b""):
-        connection.take(chunk)
+        connection.split_lines(chunk)
     while follower.mailbox.qsize():
-        follower.take(follower.mailbox.get())
+        follower.process(follower.mailbox.get())
 
 
 def following(follower):
-    follower.open = lambda number: Still(follower, number)
+    follower.open_stream = lambda number: Still(follower, number)
     if isinstance(follower, discovery.DiscoveryClient):
         follower.sources[0] = 0
-    follower.carry(follower.following.start(follower.clock()))
-    del follower.open
+    follower.execute(follower.stream_follower.start(follower.clock()))
+    del follower.open_stream
     return follower.streams[0]
 
 
 def moved(r, port):
-    r.open = lambda number: Still(r, number)
-    r.sources[r.following.next_stream] = r.following.source + 1
-    r.take(node_config.AddressChanged(("127.0.0.1", port)))
-    del r.open
+    r.open_stream = lambda number: Still(r, number)
+    r.sources[r.stream_follower.next_stream] = r.stream_follower.source + 1
+    r.process(node_config.AddressChanged(("127.0.0.1", port)))
+    del r.open_stream
     return r.streams[max(r.streams)]
 
 
@@ -92,9 +92,9 @@
     told_by(r, following(r), LINES, cut)
     first, second = lists_of(said)
     assert (first.kind, first.version, second.kind) == (i.ListKind.CHANGES, 8, i.ListKind.WHOLE)
-    (entry,) = first.entries
-    assert (entry.word, entry.address, entry.row.status) == ("s-1", AT, i.ServerStatus.DRAINING)
-    assert r.book.version == 9
+    (entry,) = first.servers
+    assert (entry.server_id, entry.address, entry.entry.status) == ("s-1", AT, i.ServerStatus.DRAINING)
+    assert r.server_list.version == 9
 
 
 def indented(*versions):
@@ -177,7 +177,7 @@
 def test_a_line_that_cannot_be_read_ends_the_watch_and_nothing_of_it_is_applied(line):
     r, said = build_roster()
     told_by(r, following(r), line + b"\n" + LINES)
-    assert not lists_of(said) and not r.streams and r.book.version == 7
+    assert not lists_of(said) and not r.streams and r.server_list.version == 7
 
 
 @pytest.mark.parametrize(
@@ -195,7 +195,7 @@
     told_by(r, following(r), orjson.dumps(FIRST | {"instances": rows}) + b"\n")
     rows = [discovery_entry("s-1", AT) | bad, discovery_entry("s-2", AT, lifecycle="terminating"), 7]
     told_by(r, r.streams[0], orjson.dumps(FIRST | {"generation": 9, "instances": rows}) + b"\n")
-    statuses = {e.word: e.row.status for e in lists_of(said)[-1].entries}
+    statuses = {e.server_id: e.entry.status for e in lists_of(said)[-1].servers}
     assert (
         statuses == {"s-1": i.ServerStatus.DRAINING, "s-2": i.ServerStatus.DRAINING}
         and r.fetching
@@ -207,7 +207,7 @@
     monkeypatch.setattr(stream, "MAX_LINE_BYTES", 100)
     r, _ = build_roster()
     with pytest.raises(http1.HttpError):
-        following(r).take(b"x" * 101)
+        following(r).split_lines(b"x" * 101)
 
 
 def test_after_a_move_the_old_watch_is_read_until_the_new_one_tells():
@@ -222,14 +222,14 @@
     r, said = build_roster()
     old = following(r)
     told_by(r, old, lists(8))
-    r.take(node_config.AddressChanged(Peer(new).address))
+    r.process(node_config.AddressChanged(Peer(new).address))
     while not asked:
         gevent.sleep(0.001)
     told_by(r, old, lists(9))
     assert asked == [b"GET /api/targets?watch=1&after=8 HTTP/1.1"]
     assert [m.version for m in lists_of(said)] == [8, 9]
     told_new.set()
-    r.take(r.mailbox.get())
+    r.process(r.mailbox.get())
     assert [m.version for m in lists_of(said)] == [10] and list(r.streams) == [1]
     told_by(r, old, lists(11))
     assert said.empty()
@@ -244,7 +244,7 @@
     assert [m.version for m in lists_of(said)] == [9] and list(r.streams) == [0, 1]
     r.mailbox.put(stream.StreamEnded(old, "ended"))
     told_by(r, new, b"")  # a sole one's word stands, whatever its numbers
-    assert [m.version for m in lists_of(said)] == [8] and r.book.source == 1
+    assert [m.version for m in lists_of(said)] == [8] and r.server_list.source == 1
 
 
 def test_a_new_address_that_fails_leaves_the_old_watch_and_a_second_move_wins():
@@ -253,9 +253,9 @@
     told_by(r, old, lists(9))
     for port in (10, 11):
         new = moved(r, port)
-    assert new.at == ("127.0.0.1", 11) and r.streams[0] is old
-    r.take(stream.StreamEnded(new, "refused", reached=False))
-    assert r.following.freshness == i.ListFreshness.FRESH and r.following.due() < r.clock() + 500
+    assert new.address == ("127.0.0.1", 11) and r.streams[0] is old
+    r.process(stream.StreamEnded(new, "refused", connected=False))
+    assert r.stream_follower.freshness == i.ListFreshness.FRESH and r.stream_follower.due() < r.clock() + 500
 
 
 @pytest.mark.parametrize("cut", range(1, len(EVENT)))
@@ -368,7 +368,7 @@
         sock.recv(1)
 
     d = platform.VoteCaster(build_node_config(platform=Peer(talk).address), Counters(), null_log, None)
-    d.wait_s = 0.02
+    d.timeout_s = 0.02
     assert d.cast(i.Vote(1, i.Verdict.ON, 0)) == ExchangeFailure(
         ExchangeProgress.WRITTEN, FailureCause.TIMEOUT
     )
@@ -379,8 +379,8 @@
     assert (t.seed, t.sockets, t.connect_ms, t.idle_ms) == (0x8C1F30D27A5BE964, 1024, 250.0, 15000.0)
     assert (t.routes, t.tenants) == ({b"look": 0, b"book": 1}, {b"acme": 0})
     assert t.facts.routes[1].retry_safety == i.RetrySafety.NON_RETRIABLE and t.facts.load_column == 0
-    assert t.known.kind == i.ListKind.REMEMBERED and t.news.phase == i.RolloutPhase.RELEASED
-    row = t.known.entries[0].row
+    assert t.initial_list.kind == i.ListKind.REMEMBERED and t.initial_stage.phase == i.RolloutPhase.RELEASED
+    row = t.initial_list.servers[0].entry
     assert (row.zone, row.started_at, row.build, row.status) == (1, 12.0, 41, i.ServerStatus.IN_SERVICE)
 
 
@@ -415,7 +415,7 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (head_of, sent))
 
     r, _ = build_roster(Peer(talk).address)
-    assert len(r.fetch(0).said.entries) == 1024
+    assert len(r.fetch_list(0).message.entries) == 1024
 
 
 def test_a_whole_list_without_an_end_is_given_up():
@@ -424,17 +424,17 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (stream.MAX_LINE_BYTES + 1))
 
     r, _ = build_roster(Peer(talk).address)
-    assert r.fetch(0).said is None
+    assert r.fetch_list(0).message is None
 
 
 def test_a_thousand_machines_on_one_line_of_the_watch_and_at_the_start():
     entries = [discovery_entry(f"s-{n:08x}", ("10.0.0.1", n)) for n in range(1024)]
-    assert len(build_node_config(*entries).known.entries) == 1024
+    assert len(build_node_config(*entries).initial_list.servers) == 1024
     r, said = build_roster()
     line = orjson.dumps({"generation": 9, "reset": True, "instances": entries}) + b"\n"
     told_by(r, following(r), line, cut=len(line) // 2)
     (got,) = lists_of(said)
-    assert len(got.entries) == 1024
+    assert len(got.servers) == 1024
 
 
 def test_a_whole_list_cut_short_leaves_the_last_good_one():
@@ -445,6 +445,6 @@
         )
 
     r, said = build_roster(Peer(talk).address)
-    fetched = r.fetch(0)
-    r.other(fetched)
-    assert fetched.said is None and fetched.why == "ended" and not lists_of(said)
+    fetched = r.fetch_list(0)
+    r.process_other(fetched)
+    assert fetched.message is None and fetched.error == "ended" and not lists_of(said)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -56,7 +56,7 @@
         )
         self.own = self.folder / "front.kdl"
         self.own.write_text('control "{}:{}"'.format(*self.service.address))
-        made = front.Front(told, os.open(os.devnull, os.O_WRONLY), own=str(self.own))
+        made = front.Front(told, os.open(os.devnull, os.O_WRONLY), front_file=str(self.own))
         self.fronts.append(made)
         self.greenlets.append(gevent.spawn(made.run))
         until(lambda: name in self.service.streams)
@@ -79,7 +79,7 @@
 
 
 def holds(made):
-    return made.versions.ledger.in_force.version.number
+    return made.config_versions.ledger.in_force.version.number
 
 
 @pytest.fixture
@@ -93,7 +93,7 @@
     yield make
     for w in made:
         for f in w.fronts:
-            f.door.sock.close()
+            f.client_listener.sock.close()
         gevent.killall(w.greenlets)
         w.kill()
 
@@ -109,11 +109,11 @@
     ]
     assert w.publish(*lines) == {"ok": True, "number": 1}
     until(lambda: w.service.rollout.phase == VersionRolloutPhase.DONE)
-    b = f.brain.balancer
+    b = f.dispatcher.balancer
     assert b.settings.routes[0].timeout_ms == 700.0 and b.settings.routes[0].max_attempts == 1
     assert b.max_trial_share == 0.05
     assert {m.entry.status for m in b.servers.values()} == {i.ServerStatus.DRAINING}
-    client = socket.create_connection(f.door.sock.getsockname())
+    client = socket.create_connection(f.client_listener.sock.getsockname())
     answers = []
     for n in range(4):
         client.sendall(REQ % n)
@@ -133,14 +133,14 @@
 def test_a_network_that_is_closed_gets_no_more_answers(world):
     w = world()
     f = w.front()
-    client = socket.create_connection(f.door.sock.getsockname())
-    f.door.networks = None
+    client = socket.create_connection(f.client_listener.sock.getsockname())
+    f.client_listener.networks = None
     w.publish('networks { refuse "127.0.0.0/9" }')
     gevent.sleep(0.05)
     assert (
-        holds(f) == 0 and f.versions.ledger.past[-1].version.number == 1
+        holds(f) == 0 and f.config_versions.ledger.past[-1].version.number == 1
     )  # it would cut off the service itself
-    f.versions.at = ("127.128.0.1", 1)  # as if versions came from elsewhere
+    f.config_versions.address = ("127.128.0.1", 1)  # as if versions came from elsewhere
     w.publish('networks { refuse "127.0.0.0/9" }')
     until(lambda: holds(f) == 2)
     client.sendall(REQ % 1)
@@ -156,14 +156,14 @@
     until(lambda: w.service.rollout.phase == VersionRolloutPhase.HALTED)
     status = w.call(call="status")
     assert status["fronts"][0]["code"] == "widens" and "line 2, column 10" in status["fronts"][0]["text"]
-    assert holds(f) == 1 and f.brain.balancer.settings.routes[0].max_attempts == 2
+    assert holds(f) == 1 and f.dispatcher.balancer.settings.routes[0].max_attempts == 2
     assert "number it 3" in w.publish(number=2)["why"] and "range" in w.publish("trial most-share=7")["why"]
     assert w.call(call="rollback", to=1) == {
         "ok": True,
         "number": 3,
     }  # the way out: older content, new number
     until(lambda: w.service.rollout.phase == VersionRolloutPhase.DONE)
-    assert holds(f) == 3 and f.brain.balancer.settings.routes[0].max_attempts == 2
+    assert holds(f) == 3 and f.dispatcher.balancer.settings.routes[0].max_attempts == 2
 
 
 def test_a_version_that_asks_for_it_goes_back_unless_confirmed(world):
@@ -173,15 +173,15 @@
     until(lambda: holds(f) == 1)
     w.publish("trial most-share=0.01", head="confirm=(s)1")
     until(lambda: holds(f) == 2)
-    assert f.brain.balancer.max_trial_share == 0.01
+    assert f.dispatcher.balancer.max_trial_share == 0.01
     until(lambda: holds(f) == 1)
-    assert f.brain.balancer.max_trial_share == 0.05 and f.counters.counts["versions_rolled_back"] == 1
+    assert f.dispatcher.balancer.max_trial_share == 0.05 and f.counters.counts["versions_rolled_back"] == 1
     until(lambda: w.call(call="status")["fronts"][0]["holds"][1] == 1)
     w.publish("trial most-share=0.02", head="confirm=(s)1")
     until(lambda: holds(f) == 3)
     assert w.call(call="confirm")["fronts"] == 1
     gevent.sleep(1.2)
-    assert holds(f) == 3 and f.versions.ledger.last_good.version.number == 3
+    assert holds(f) == 3 and f.config_versions.ledger.last_good.version.number == 3
     assert f.counters.counts["faults"] == 0 and f.counters.counts["versions_lost"] == 0
 
 
@@ -190,9 +190,11 @@
     f = w.front()
     w.publish("trial most-share=0.1")
     until(lambda: holds(f) == 1)
-    f.brain.tell(i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.ON_TRIAL, 0.04, 0.0))
-    f.brain.hear()
-    assert f.brain.balancer.exposure_cap(2)[0] == 0.04 and f.brain.balancer.max_trial_share == 0.04
+    f.dispatcher.post_update(
+        i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.ON_TRIAL, 0.04, 0.0)
+    )
+    f.dispatcher.apply_updates()
+    assert f.dispatcher.balancer.exposure_cap(2)[0] == 0.04 and f.dispatcher.balancer.max_trial_share == 0.04
 
 
 def test_a_service_that_is_killed_in_a_rollout_goes_on_with_its_numbers(world):
@@ -285,7 +287,7 @@
     body = {"nonce": 9, "epoch": 1, "number": 5, "digest": "d", "base": {"epoch": 9, "number": 9}}
     link.put(encode_frame("offer", **body, set=[], dropped=[]))
     link.put(encode_frame("offer", **body | {"nonce": 10, "number": 6}, text=text(6)))
-    until(lambda: len(f.versions.ledger.past) == 2)
+    until(lambda: len(f.config_versions.ledger.past) == 2)
     assert f.counters.counts["versions_refused"] == 2 and f.counters.counts["faults"] == 0 and holds(f) == 0
 
 
@@ -303,7 +305,7 @@
     )
     w.publish("networks {", *many[:-1], "}")
     until(lambda: holds(f) == 2)
-    content = f.versions.contents[f.versions.ledger.in_force.version]
+    content = f.config_versions.entries_of[f.config_versions.ledger.in_force.version]
     assert len(seen[0]) < 400 and len(content) == 199
 
 
@@ -320,23 +322,30 @@
     other.publish("trial most-share=0.02")
     w.publish("trial most-share=0.04")  # both at once, and the signal
     f.reload()
-    until(lambda: f.versions.ledger.in_force.version.epoch == 2)
-    assert f.brain.balancer.max_trial_share == 0.02 and f.counters.counts["faults"] == 0
+    until(lambda: f.config_versions.ledger.in_force.version.epoch == 2)
+    assert f.dispatcher.balancer.max_trial_share == 0.02 and f.counters.counts["faults"] == 0
     w.publish("trial most-share=0.03")
     gevent.sleep(0.05)
-    assert f.brain.balancer.max_trial_share == 0.02
-    standing = set(f.versions.socks)
+    assert f.dispatcher.balancer.max_trial_share == 0.02
+    standing = set(f.config_versions.sockets)
     w.own.write_text('control "127.0.0.1:9"')  # nobody is there: the one that stands is followed on
     f.reload()
     gevent.sleep(0.05)
-    assert standing <= set(f.versions.socks) and other.publish("trial most-share=0.01")["number"] == 2
-    until(lambda: f.brain.balancer.max_trial_share == 0.01)
+    assert (
+        standing <= set(f.config_versions.sockets) and other.publish("trial most-share=0.01")["number"] == 2
+    )
+    until(lambda: f.dispatcher.balancer.max_trial_share == 0.01)
     w.own.write_text('control "{}:{}"'.format(*other.service.address))
     f.reload()
-    until(lambda: len(f.versions.socks) == 1 and f.versions.stream in f.versions.socks)
+    until(
+        lambda: (
+            len(f.config_versions.sockets) == 1
+            and f.config_versions.newest_stream in f.config_versions.sockets
+        )
+    )
     w.own.write_text("control 7")
     f.reload()  # unclear: nothing changes
-    assert f.versions.at == other.service.address
+    assert f.config_versions.address == other.service.address
     other.kill()
 
 
