--- a/myrtleroad/policy/__init__.py
+++ b/myrtleroad/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of a front: no I/O, no protocol, no clock of its own."""
+"""All decisions of a front. No I/O, no protocol and no clock of its own: times are arguments."""
--- a/myrtleroad/policy/state.py
+++ b/myrtleroad/policy/state.py
@@ -1,4 +1,4 @@
-"""What is known of each server, and of the attempts that are out."""
+"""What the balancer knows of each server and of the attempts in flight."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,32 +8,39 @@
 
 @dataclass(slots=True)
 class Attempt:
+    """An attempt in flight."""
+
     route: int
-    sent: float
-    cost: float
-    judged: bool
-    key: str | None
-    met: float  # tries on the machine when it was sent, and 2 as a few cores share them
+    sent_at: float
+    expected_cost_ms: float  # mean latency of the route when it was sent
+    counts_for_trial: bool  # its duration is a sample for the test of the build on trial
+    dedup_key: str | None
+    concurrency: float  # attempts on the server when it was sent, plus 2, as a few cores share them
 
 
 @dataclass(slots=True, eq=False)
 class Server:
+    """One server: its list entry, this front's attempts on it and statistics of recent ones."""
+
     entry: i.ServerEntry
-    luck: float = 0.0  # drawn anew each window: which fronts may send a cold machine the last part of a try
-    luck_until: float = -1e9
-    in_flight: dict[tuple[int, int], Attempt] = field(
-        default_factory=dict
-    )  # emptied by each try's one ending
-    others: float = 0.0  # load reported beyond our own
-    pace: float = 1.0  # our latencies here over the usual ones of their routes
-    known: float = 0.0  # completed tries behind that
-    failing: float = 0.0  # share of recent tries that failed
+    # Rounds a cold server's budget to whole attempts at random, anew in each window: decides which fronts may
+    # send the last fraction of an attempt.
+    rounding_draw: float = 0.0
+    draw_expires_at: float = -1e9
+    # By request id and attempt number; an entry is removed when its attempt ends.
+    in_flight: dict[tuple[int, int], Attempt] = field(default_factory=dict)
+    other_load: float = 0.0  # reported load minus this front's own attempts
+    relative_latency: float = 1.0  # latencies on this server over the mean ones of their routes
+    latency_samples: float = 0.0  # completed attempts behind ``relative_latency``
+    failure_rate: float = 0.0  # share of recent attempts that failed
     ejected_until: float = 0.0
-    linked: float = -1e9  # when a connection to it was last known to work
-    took: float = -1e9  # when a try was sent that it completed: it drained not then
-    served_at: float = -1e9  # the same, over a connection that the list vouches for
-    faded: float = 0.0  # when what is not seen was last faded
-    sent: deque[tuple[float, float]] = field(default_factory=deque)  # emptied by age, see draw
+    last_connected_at: float = -1e9  # when a connection to it was last known to work
+    accepted_at: float = -1e9  # send time of the last attempt that it completed: it was not draining then
+    served_at: float = -1e9  # the same, over a connection that the lease on the server list covers
+    decayed_at: float = 0.0  # when the estimates that need new samples were last decayed
+    # Send times and costs of attempts while the server is cold; dropped by age in ``refresh_cold_window``.
+    cold_attempts: deque[tuple[float, float]] = field(default_factory=deque)
 
 
-Past = list[tuple[Server, Attempt, bool]]  # a req's ended tries, and whether each may have run
+# Ended attempts of a request, each with whether it may have been executed.
+PastAttempts = list[tuple[Server, Attempt, bool]]
--- a/myrtleroad/policy/trial.py
+++ b/myrtleroad/policy/trial.py
@@ -1,6 +1,6 @@
-"""The test of a build on trial against the earlier build: Yuen's trimmed t-test with a CUPED baseline.
+"""Test of a build on trial against the earlier build: Yuen's trimmed t-test with a CUPED baseline.
 
-Mechanism and source: ``docs/design.md``."""
+Method and source: ``docs/design.md``."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -12,152 +12,222 @@
 from myrtleroad import interface as i
 from myrtleroad.interface import Verdict
 
-Sample = tuple[float, float, float, float, bool]  # a try's score, covariate, end, tries met; completed?
+# Score of an attempt (its duration in ms, or the route's timeout if it failed), covariate, time of its end,
+# attempts on the server when it was sent, and whether it completed.
+Sample = tuple[float, float, float, float, bool]
 
 
 def trimmed(sample: list[Sample]) -> tuple[np.ndarray, np.ndarray, int]:
-    """Trimmed means of score and covariate, their winsorized sums over h(h - 1), and h, at 1% an end."""
+    """Trimmed means of score and covariate, their winsorized sums over h(h - 1), and h, the number of samples
+    that are left. Trims 1% at each end."""
     values = np.array([x[:2] for x in sample]).T
     ordered, n = np.sort(values), len(sample)
-    g = int(0.01 * n)  # the design's figure
+    g = int(0.01 * n)  # figure of the design
     low, high, h = ordered[:, [g]], ordered[:, [n - g - 1]], n - 2 * g
     return ordered[:, g : n - g].mean(axis=1), np.cov(values.clip(low, high)) * (n - 1) / (h * (h - 1)), h
 
 
 def yuen_cuped(trial: list[Sample], earlier: list[Sample], margin: float) -> tuple[float, float, float]:
-    """One-sided p that the trial's mean exceeds margin times the earlier's, and both means (paper, 3.3)."""
+    """One-sided p that the trial's mean exceeds ``margin`` times the earlier one's, and both means (paper,
+    section 3.3)."""
     ((y2, x2), s2, h2), ((y1, x1), s1, h1) = trimmed(trial), trimmed(earlier)
     both, d2, d1 = s2 + s1, s2[0, 0], s1[0, 0]
     theta = both[0, 1] / both[1, 1] if both[1, 1] > 0 else 0.0
-    gap = y2 - margin * y1 - theta * (x2 - x1)
+    difference = y2 - margin * y1 - theta * (x2 - x1)
     variance = d2 + d1 + theta * theta * both[1, 1] - 2 * theta * both[0, 1]
     if variance <= 0 or d1 + d2 <= 0:
-        return (0.0 if gap > 0 else 1.0), float(y2), float(y1)
-    freedom = (d1 + d2) ** 2 / (d1 * d1 / (h1 - 1) + d2 * d2 / (h2 - 1))
-    return float(stdtr(freedom, -gap / sqrt(variance))), float(y2), float(y1)
+        return (0.0 if difference > 0 else 1.0), float(y2), float(y1)
+    degrees = (d1 + d2) ** 2 / (d1 * d1 / (h1 - 1) + d2 * d2 / (h2 - 1))
+    return float(stdtr(degrees, -difference / sqrt(variance))), float(y2), float(y1)
 
 
 class TrialTest:
-    FLOOR = 20  # samples a side before a test (design), of the fronts that decide together
-    HINT, PATIENCE = 5, 4000.0  # samples of a hold; the design's stage age, for a front short of samples
-    MARGIN = 1.5  # over 1.3, as a good build may be a seventh slower and its machines a little busier
-    YOUNG = 3000.0  # machines started later than this ago count on neither side (design)
-    KEEP = 1000  # samples a side: some ten seconds of a busy front, and bounds the work of a test
+    """Samples of the trial build and of the earlier one, and one front's verdict on the trial build."""
+
+    MIN_SAMPLES = 20  # of each build, over the fronts that decide together, before a test (design)
+    # Samples of each build that suffice to hold a stage; how long a front short of samples waits for them
+    # (the design's stage duration).
+    MIN_HINT_SAMPLES, SAMPLE_WAIT_MS = 5, 4000.0
+    # Tolerated latency of the trial over that of the earlier build. Above 1.3, as a good build may be a
+    # seventh slower and its servers a little busier.
+    MARGIN = 1.5
+    MIN_SERVER_AGE_MS = 3000.0  # attempts on younger servers are no samples of either build (design)
+    MAX_SAMPLES = 1000  # of each build: some ten seconds of a busy front; bounds the work of a test
 
     def __init__(self, settings: i.Settings):
-        self.need = need = max(1, min(settings.rollout.votes_to_roll_back, settings.balancers))
-        self.alpha = float(bdtri(need - 1, settings.balancers, 0.95))  # so many of all err with chance 0.05
-        self.floor, self.short = max(self.HINT, -(-self.FLOOR // need)), True
-        # Where the earlier machines go as a stage begins, a bad one costs more than the wait for samples.
-        self.patient = need > 1 and settings.rollout.replaces_in_place
-        self.stage_age = (
-            settings.rollout.stage_soak_ms + 1000.0
-        )  # about when the platform's clock starts (bench page)
-        self.earlier, self.trial = (deque(maxlen=self.KEEP) for _ in range(2))
-        self.pre: list[deque[float]] = [deque(maxlen=100) for _ in settings.routes]
-        self.last, self.told = len(settings.rollout.stage_caps) - 1, False
-        self.counts = np.zeros(
-            (3, len(settings.routes), 3)
-        )  # trial, earlier, before; route; tries, errors, ms
-        self.offer(-1)
-
-    def offer(self, build: int) -> None:
-        self.build, self.tested, self.verdict = build, -1, Verdict.NONE
+        self.votes_needed = votes_needed = max(
+            1, min(settings.rollout.votes_to_roll_back, settings.balancers)
+        )
+        # So chosen that as many fronts as are needed err together with probability 0.05.
+        self.alpha = float(bdtri(votes_needed - 1, settings.balancers, 0.95))
+        self.min_samples, self.decided_short = (
+            max(self.MIN_HINT_SAMPLES, -(-self.MIN_SAMPLES // votes_needed)),
+            True,
+        )
+        # Where servers of the earlier build are replaced as a stage begins, a bad build costs more than the
+        # wait for samples.
+        self.waits_for_samples = votes_needed > 1 and settings.rollout.replaces_in_place
+        # The platform's clock of a stage starts about 1 s later than the stage (bench page).
+        self.stage_duration_ms = settings.rollout.stage_soak_ms + 1000.0
+        self.earlier, self.trial = (deque(maxlen=self.MAX_SAMPLES) for _ in range(2))
+        self.baseline_scores: list[deque[float]] = [deque(maxlen=100) for _ in settings.routes]
+        self.last_stage, self.has_new_counts = len(settings.rollout.stage_caps) - 1, False
+        # Platform counts. Axes: trial, earlier build, before the trial; route; attempts, errors, total ms.
+        self.counts = np.zeros((3, len(settings.routes), 3))
+        self.start_trial(-1)
+
+    def start_trial(self, build: int) -> None:
+        """Start the test of a new build: the samples so far become the time before the trial."""
+        self.build, self.tested_stage, self.verdict = build, -1, Verdict.NONE
         self.before = list(self.earlier)
         self.counts[0], self.counts[2] = 0.0, self.counts[1]
         self.earlier.clear()
         self.trial.clear()
-        known = all(len(p) >= 5 for p in self.pre)
-        self.covariate = [sum(p) / len(p) if known else 0.0 for p in self.pre]
-
-    def take(self, build: int, route: int, score: float, met: float, ok: bool, on_trial: bool, now: float):
-        sample = (score, self.covariate[route], now, met, ok)
+        known = all(len(scores) >= 5 for scores in self.baseline_scores)
+        self.covariate = [sum(scores) / len(scores) if known else 0.0 for scores in self.baseline_scores]
+
+    def add_sample(
+        self,
+        build: int,
+        route: int,
+        score: float,
+        concurrency: float,
+        completed: bool,
+        on_trial: bool,
+        now: float,
+    ):
+        """Add an ended attempt. ``on_trial``: whether its build is on trial by now."""
+        sample = (score, self.covariate[route], now, concurrency, completed)
         (self.trial if build == self.build else self.earlier).append(sample)
         if not on_trial:
-            self.pre[route].append(score)
-
-    def count(self, t: i.AttemptCounts) -> None:
-        row = self.counts[0 if t.build >= self.build > 0 else 1, t.route]
-        row[:] = 0.5 * row + (t.attempts, t.errors, (t.attempts - t.errors) * t.mean_duration_ms)
-        self.told = True
-
-    def counted(self, released: bool) -> float:
-        """p that the counted trial is slower or errs more; once released, than before, if our own err too."""
+            self.baseline_scores[route].append(score)
+
+    def add_counts(self, counts: i.AttemptCounts) -> None:
+        """Add the platform's counts; older ones decay by half."""
+        row = self.counts[0 if counts.build >= self.build > 0 else 1, counts.route]
+        row[:] = 0.5 * row + (
+            counts.attempts,
+            counts.errors,
+            (counts.attempts - counts.errors) * counts.mean_duration_ms,
+        )
+        self.has_new_counts = True
+
+    def p_from_counts(self, released: bool) -> float:
+        """p that the trial build is slower or fails more by the platform's counts. Once the build is
+        released: p that it fails more than before the trial, provided that this front's attempts fail too."""
         known = (self.counts[..., 0] >= 5).all(axis=0)
         if not known.any():
             return 1.0
-        n, e, ms = self.counts[:, known].transpose(2, 0, 1)
-        p, done = e / n, np.maximum(n - e, 1.0)
-        noise, ratio = (p * (1 - p) + 0.01) / n, ms[0] / done[0] / (ms[1] / done[1] + 1)
-
-        def z(gap: np.ndarray, var: np.ndarray) -> float:
-            use = np.argsort(gap)  # one route far worse than any other may be slow everywhere
-            use = use[:-1] if gap[use[-1]] > 3 * max([0.05, *gap[use[:-1]]]) else use
-            return float(gap[use] @ n[0, use]) / sqrt(float(var[use] @ n[0, use] ** 2) + 1e-9)
-
-        later = z(p[0] - p[2] - (0.15 if released else 0.1), noise[0] + noise[2])
+        attempts, errors, total_ms = self.counts[:, known].transpose(2, 0, 1)
+        error_rate, completed = errors / attempts, np.maximum(attempts - errors, 1.0)
+        noise, ratio = (
+            (error_rate * (1 - error_rate) + 0.01) / attempts,
+            total_ms[0] / completed[0] / (total_ms[1] / completed[1] + 1),
+        )
+
+        def z(difference: np.ndarray, variance: np.ndarray) -> float:
+            used = np.argsort(difference)  # a route that is far worse than any other may be slow everywhere
+            used = used[:-1] if difference[used[-1]] > 3 * max([0.05, *difference[used[:-1]]]) else used
+            return float(difference[used] @ attempts[0, used]) / sqrt(
+                float(variance[used] @ attempts[0, used] ** 2) + 1e-9
+            )
+
+        worse_than_before = z(
+            error_rate[0] - error_rate[2] - (0.15 if released else 0.1), noise[0] + noise[2]
+        )
         if released:
-            return float(ndtr(-later)) if 2 * sum(not x[4] for x in self.trial) > len(self.trial) > 4 else 1.0
-        worse = z(p[0] - 1.5 * p[1] - 0.05, noise[0] + 2.25 * noise[1])
-        slower = z(ratio - self.LATER, ratio**2 / done[0] + self.LATER**2 / done[1])
-        return float(ndtr(-max(slower, worse, min(later, 4 * worse))))
-
-    LATER = 2.0  # margin across time, as other troubles may have come since; MARGIN if laden
-
-    def judge(self, stage: int, age: float, released: bool, laden: bool = False) -> tuple[Verdict, str]:
-        """The vote for this stage, tested once; each stage age after a release counts as a stage."""
-        if self.told and self.build > 0 and min(len(self.trial), len(self.earlier)) < self.floor:
-            # Exception: a front short of samples goes by the platform's counts, the same for all fronts.
-            self.told, p = False, self.counted(released)
-            if p < 0.001 and self.verdict != Verdict.BACK:  # under 0.05 for a day's counts together
+            return (
+                float(ndtr(-worse_than_before))
+                if 2 * sum(not x[4] for x in self.trial) > len(self.trial) > 4
+                else 1.0
+            )
+        worse = z(error_rate[0] - 1.5 * error_rate[1] - 0.05, noise[0] + 2.25 * noise[1])
+        slower = z(
+            ratio - self.MARGIN_OVER_TIME,
+            ratio**2 / completed[0] + self.MARGIN_OVER_TIME**2 / completed[1],
+        )
+        return float(ndtr(-max(slower, worse, min(worse_than_before, 4 * worse))))
+
+    # Margin against the time before the trial, as other troubles may have begun since; ``MARGIN`` is used
+    # while the front is overloaded.
+    MARGIN_OVER_TIME = 2.0
+
+    def decide(
+        self, stage: int, age_ms: float, released: bool, overloaded: bool = False
+    ) -> tuple[Verdict, str]:
+        """The verdict on a stage and, when it was tested just now, the figures behind it. A stage is tested
+        once. After a release each stage duration that passes counts as a stage."""
+        if (
+            self.has_new_counts
+            and self.build > 0
+            and min(len(self.trial), len(self.earlier)) < self.min_samples
+        ):
+            # A front short of samples goes by the platform's counts, which are the same for all fronts.
+            self.has_new_counts, p = False, self.p_from_counts(released)
+            if p < 0.001 and self.verdict != Verdict.BACK:  # under 0.05 for all counts of a day together
                 self.verdict = Verdict.BACK
                 return self.verdict, f"by the platform's counts, p {p:.4f}"
-        key = -1 - int(age // self.stage_age) if released else stage
-        again = self.verdict == Verdict.HOLD and age >= 2 * self.stage_age
-        if self.verdict == Verdict.BACK or age < self.stage_age:
+        key = -1 - int(age_ms // self.stage_duration_ms) if released else stage
+        again = self.verdict == Verdict.HOLD and age_ms >= 2 * self.stage_duration_ms
+        if self.verdict == Verdict.BACK or age_ms < self.stage_duration_ms:
             return (Verdict.BACK if self.verdict == Verdict.BACK else Verdict.NONE), ""
-        # Tested once a stage; where several decide, one short of samples votes without and tests later.
-        short = self.need > 1 and min(len(self.trial), len(self.earlier)) < self.floor
-        if self.tested == key and not again and (short or not self.short):
+        # Where several fronts decide, one that is short of samples votes without them and tests later.
+        short = self.votes_needed > 1 and min(len(self.trial), len(self.earlier)) < self.min_samples
+        if self.tested_stage == key and not again and (short or not self.decided_short):
             return self.verdict, ""
-        if short and self.patient and not released and age < self.YOUNG + self.PATIENCE:
-            return Verdict.NONE, ""  # samples only begin as the stage's machines are no longer young
-        self.tested, self.short = key, short
-        # Exception: against the time before the trial, completed tries only, over the tries met: for a build
-        # that slows all machines (all tell it while laden) or turns bad late. Hurts if they slow otherwise.
-        both = [x for x in self.earlier if laden and not released and self.trial and x[2] >= self.trial[0][2]]
-        recent = sorted(self.scaled([*self.trial, *both]), key=lambda x: x[2])[-self.KEEP // 4 :]
-        sides = (self.before, self.earlier) if released else (self.before,)
-        tests = [self.test(recent, self.scaled(x), self.MARGIN if laden else self.LATER) for x in sides]
+        if (
+            short
+            and self.waits_for_samples
+            and not released
+            and age_ms < self.MIN_SERVER_AGE_MS + self.SAMPLE_WAIT_MS
+        ):
+            return Verdict.NONE, ""  # samples only arrive once the stage's servers are old enough
+        self.tested_stage, self.decided_short = key, short
+        # Tested also against the time before the trial, with completed attempts only and scores divided by
+        # the attempts on the server: finds a build that slows all servers (while overloaded, attempts on all
+        # of them show it) or turns bad late. It errs if servers become slow for another reason.
+        both = [
+            x for x in self.earlier if overloaded and not released and self.trial and x[2] >= self.trial[0][2]
+        ]
+        recent = sorted(self.normalized([*self.trial, *both]), key=lambda x: x[2])[-self.MAX_SAMPLES // 4 :]
+        references = (self.before, self.earlier) if released else (self.before,)
+        tests = [
+            self.compare(recent, self.normalized(x), self.MARGIN if overloaded else self.MARGIN_OVER_TIME)
+            for x in references
+        ]
         if not released:
-            # Over the same time, or a spell that only one window holds counts against its build.
+            # Over the same time, or a disturbance within the window of only one build counts against it.
             since = max((side[0][2] for side in (self.trial, self.earlier) if side), default=0.0)
-            now = ([x for x in side if x[2] >= since] for side in (self.trial, self.earlier))
-            tests.append(self.test(*now, self.MARGIN))
+            sides = ([x for x in side if x[2] >= since] for side in (self.trial, self.earlier))
+            tests.append(self.compare(*sides, self.MARGIN))
         p, _, text = min(tests) if min(tests)[0] < self.alpha else tests[-1]
-        past = min(t[1] for t in tests[0 if laden else -1 :])
-        # Held once a stage: before a release whenever past the margin, earlier where it is likely so (0.1).
-        doubt = past < (1.0 if stage == self.last else 0.1) and not again
-        onward = Verdict.NONE if released else Verdict.HOLD if doubt else Verdict.ON
+        p_exceeds = min(t[1] for t in tests[0 if overloaded else -1 :])
+        # Held once a stage: in the last one before a release whenever the margin is exceeded, in earlier ones
+        # only where that is likely not chance (p below 0.1).
+        doubtful = p_exceeds < (1.0 if stage == self.last_stage else 0.1) and not again
+        onward = Verdict.NONE if released else Verdict.HOLD if doubtful else Verdict.ON
         self.verdict = Verdict.BACK if p < self.alpha else onward
         return self.verdict, "" if self.verdict == Verdict.NONE else text
 
-    def scaled(self, side: Iterable[Sample]) -> list[Sample]:
-        return [(x[0] / x[3], 0.0, *x[2:]) for x in side if x[4]]
+    def normalized(self, samples: Iterable[Sample]) -> list[Sample]:
+        """The completed attempts, with scores divided by the attempts on the server and no covariate."""
+        return [(x[0] / x[3], 0.0, *x[2:]) for x in samples if x[4]]
 
-    def test(self, trial: list[Sample], earlier: list[Sample], margin: float) -> tuple[float, float, str]:
+    def compare(self, trial: list[Sample], earlier: list[Sample], margin: float) -> tuple[float, float, str]:
+        """p that the trial is worse (1.0 with too few samples), p if its mean exceeds the margin (else 1.0),
+        and the figures for the log."""
         views = [(trial, earlier)]
         if 10 * sum(not x[4] for x in earlier) > len(earlier):
-            # Exception: where the earlier build errs too, errors are told apart from slowness.
+            # Where the earlier build fails too, failures are tested apart from latency.
             views = [tuple([x for x in side if x[4]] for side in (trial, earlier))]
             views.append(tuple([(float(not x[4]), 0.0) for x in side] for side in (trial, earlier)))
         results = [(1.0, 1.0, f"{len(trial)} and {len(earlier)} samples")]
         for a, b in views:
-            if min(len(a), len(b)) >= self.HINT:
+            if min(len(a), len(b)) >= self.MIN_HINT_SAMPLES:
                 p, y2, y1 = yuen_cuped(a, b, margin)
                 text = f"trimmed means {y2:.3g} and {y1:.3g}, n {len(a)} and {len(b)}, p {p:.4f}"
-                # Guards against an on to a trial whose few samples are plainly slow.
-                p, full = min(1.0, p * len(views)), min(len(a), len(b)) >= self.floor
-                past = p if y2 > margin * y1 and (full or p < 0.1) else 1.0
-                results.append((p if full else 1.0, past, text))
+                # Guards against advancing a trial whose few samples are plainly slow.
+                p, enough = min(1.0, p * len(views)), min(len(a), len(b)) >= self.min_samples
+                p_exceeds = p if y2 > margin * y1 and (enough or p < 0.1) else 1.0
+                results.append((p if enough else 1.0, p_exceeds, text))
         return min(results[1:], default=results[0])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Facts, machines, balancers, configurations and peers that the tests build their state from."""
+"""Builders of settings, servers, balancers, configurations and peers for the tests."""
 
 import gevent
 import orjson
@@ -11,7 +11,7 @@
 
 
 def build_settings(**changes):
-    roll = dict(
+    rollout = dict(
         vote_mode=i.VoteMode.COUNT,
         votes_to_advance=1,
         votes_to_roll_back=1,
@@ -27,7 +27,7 @@
         forbids_downgrade=False,
         counts_interval_ms=2000.0,
     )
-    roll.update(changes.pop("roll", {}))
+    rollout.update(changes.pop("rollout", {}))
     values = dict(
         balancers=1,
         zone=0,
@@ -40,7 +40,7 @@
         over_share_benefit=1.0,
         benefit_by_work=False,
         server_rules=i.ServerRules(250.0, 4000.0, 0.3, 2.0, 2000.0, 10000.0),
-        rollout=i.Rollout(**roll),
+        rollout=i.Rollout(**rollout),
         list_on_request=True,
         max_attempts=3,
         hedging_allowed=True,
@@ -53,29 +53,35 @@
     return i.Settings(**values)
 
 
-def build_entry(machine, build=1, zone=0, started=0.0, status=i.ServerStatus.IN_SERVICE):
-    return i.ServerEntry(machine, status, build, zone, 0, 0, 1.0, started)
+def build_entry(server, build=1, zone=0, started_at=0.0, status=i.ServerStatus.IN_SERVICE):
+    return i.ServerEntry(server, status, build, zone, 0, 0, 1.0, started_at)
 
 
-def build_request(ident=1, route=0, ends_at=2000.0, key=None):
-    return i.Request(ident, route, None, key, ends_at, 0.0, False)
+def build_request(request_id=1, route=0, deadline=2000.0, dedup_key=None):
+    return i.Request(request_id, route, None, dedup_key, deadline, 0.0, False)
 
 
 def build_stage_update(
-    build=1, stage=0, phase=i.RolloutPhase.RELEASED, cap=0.0, age=0.0, end=i.Outcome.COMPLETED, answers=False
+    build=1,
+    stage=0,
+    phase=i.RolloutPhase.RELEASED,
+    cap=0.0,
+    stage_age_ms=0.0,
+    outcome=i.Outcome.COMPLETED,
+    answers_vote=False,
 ):
-    return i.StageUpdate(end, answers, build, stage, phase, cap, age)
+    return i.StageUpdate(outcome, answers_vote, build, stage, phase, cap, stage_age_ms)
 
 
 @pytest.fixture
 def balancer():
-    """A balancer at time 0 with three machines of build 1, released."""
-    b = Balancer(build_settings(), 7, 0.0)
-    b.update_stage(build_stage_update(), 0.0)
-    b.update_server_list(
+    """A balancer at time 0 with three servers of build 1, released."""
+    made = Balancer(build_settings(), 7, 0.0)
+    made.update_stage(build_stage_update(), 0.0)
+    made.update_server_list(
         i.ServerListUpdate(i.ListKind.WHOLE, [build_entry(0), build_entry(1), build_entry(2, zone=1)]), 0.0
     )
-    return b
+    return made
 
 
 # --- the front on sockets ---
@@ -112,10 +118,10 @@
 STAGE_FIELDS = {"Revision": 1, "Wave": 0, "State": "released", "MaxShare": 0.0, "AgeMs": 9000}
 
 
-def discovery_entry(word, at, **changes):
+def discovery_entry(instance_id, address, **changes):
     return {
-        "instanceId": word,
-        "hostPort": f"{at[0]}:{at[1]}",
+        "instanceId": instance_id,
+        "hostPort": f"{address[0]}:{address[1]}",
         "zone": "here",
         "machineType": "small",
         "cell": 0,
@@ -127,12 +133,12 @@
 
 
 def stage_event(**changes):
-    """The platform's event of what it has to tell."""
+    """A stage update as an event of the platform's stream."""
     fields = "&".join(f"{name}={value}" for name, value in (STAGE_FIELDS | changes).items())
     return f"event: progress\ndata: {fields}\n\n".encode()
 
 
-def build_config(machines=(), discovery=("127.0.0.1", 9), platform=("127.0.0.1", 9), **changes):
+def build_config(servers=(), discovery=("127.0.0.1", 9), platform=("127.0.0.1", 9), **changes):
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -140,17 +146,17 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "platform": {"address": f"{platform[0]}:{platform[1]}", "news": STAGE_FIELDS},
-        "known": {"generation": 7, "reset": True, "instances": list(machines)},
+        "known": {"generation": 7, "reset": True, "instances": list(servers)},
         "settings": SETTINGS_JSON,
     } | changes
 
 
-def build_node_config(*machines, **changes):
-    return node_config.decode_node_config(orjson.dumps(build_config(machines, **changes)))
+def build_node_config(*servers, **changes):
+    return node_config.decode_node_config(orjson.dumps(build_config(servers, **changes)))
 
 
-class Silent:
-    """A log that nobody reads."""
+class NullLog:
+    """A log that discards everything."""
 
     def __call__(self, event, **fields):
         pass
@@ -159,38 +165,38 @@
         return False
 
 
-null_log = Silent()
+null_log = NullLog()
 
 
 class Peer:
-    """A listener on an ephemeral port that runs ``talk(sock)`` for each connection, in order."""
+    """A listener on an ephemeral port that runs ``handler(sock)`` for each connection, handlers in order."""
 
-    def __init__(self, *talks):
+    def __init__(self, *handlers):
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen()
         self.address = self.sock.getsockname()
-        self.talks = list(talks)
+        self.handlers = list(handlers)
         self.connections = 0
         gevent.spawn(self.run)
 
     def run(self):
-        for talk in self.talks:
+        for handler in self.handlers:
             sock, _ = self.sock.accept()
             self.connections += 1
-            gevent.spawn(self.serve, talk, sock)
+            gevent.spawn(self.serve, handler, sock)
 
-    def serve(self, talk, sock):
-        talk(sock)
+    def serve(self, handler, sock):
+        handler(sock)
         sock.close()
 
 
 def read_request(sock):
-    """One whole req, head and body."""
-    got = b""
-    while b"\r\n\r\n" not in got:
-        got += sock.recv(65536) or pytest.fail(f"ended after {got!r}")
-    head, _, body = got.partition(b"\r\n\r\n")
+    """One whole request as (head, body)."""
+    received = b""
+    while b"\r\n\r\n" not in received:
+        received += sock.recv(65536) or pytest.fail(f"ended after {received!r}")
+    head, _, body = received.partition(b"\r\n\r\n")
     sizes = [line[15:] for line in head.split(b"\r\n") if line.startswith(b"Content-Length:")]
     size = int(sizes[0]) if sizes else 0
     while len(body) < size:
@@ -200,6 +206,6 @@
 
 @pytest.fixture(autouse=True)
 def bound():
-    """No test waits for ever."""
+    """Fails a test that takes longer than 20 s."""
     with gevent.Timeout(20):
         yield
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,3 +1,5 @@
+"""Rules of the balancer: which server gets an attempt, retries, ejection, load shedding, exposure, votes."""
+
 from dataclasses import replace
 from random import Random
 
@@ -10,24 +12,24 @@
 from myrtleroad.policy.state import Attempt
 
 
-def ended(machine, end, number=0, took=50.0):
-    return i.AttemptEnded(machine, number, end, took, None, False)
+def attempt_ended(server, outcome, number=0, duration_ms=50.0):
+    return i.AttemptEnded(server, number, outcome, duration_ms, None, False)
 
 
-def test_errored_non_retriable_fails_at_once(balancer):
-    gen = balancer.serve_request(build_request(route=2), 0.0)
-    send = next(gen)
-    assert gen.send((50.0, ended(send.server, i.Outcome.ERRORED))) == i.Fail()
+def test_errored_non_retriable_request_fails_at_once(balancer):
+    decisions = balancer.serve_request(build_request(route=2), 0.0)
+    send = next(decisions)
+    assert decisions.send((50.0, attempt_ended(send.server, i.Outcome.ERRORED))) == i.Fail()
 
 
-def test_non_retriable_that_never_ran_goes_again(balancer):
-    gen = balancer.serve_request(build_request(route=2), 0.0)
-    send = next(gen)
-    again = gen.send((50.0, ended(send.server, i.Outcome.NOT_CONNECTED)))
-    assert isinstance(again, i.SendAttempt) and again.server != send.server
+def test_non_retriable_request_that_was_not_executed_is_sent_again(balancer):
+    decisions = balancer.serve_request(build_request(route=2), 0.0)
+    send = next(decisions)
+    second = decisions.send((50.0, attempt_ended(send.server, i.Outcome.NOT_CONNECTED)))
+    assert isinstance(second, i.SendAttempt) and second.server != send.server
 
 
-def test_deduped_stays_in_its_group_and_window(balancer):
+def test_deduplicated_request_is_only_repeated_in_its_scope_and_window(balancer):
     past = [(balancer.servers[0], Attempt(1, 0.0, 1.0, False, None, 1.0), True)]
     assert balancer.may_attempt(balancer.servers[1], build_request(route=1), 100.0, past)
     assert not balancer.may_attempt(balancer.servers[2], build_request(route=1), 100.0, past)
@@ -35,92 +37,96 @@
     assert balancer.shed_or_fail(build_request(route=1), past) == i.Fail()
 
 
-def test_no_try_after_the_clients_own_time(balancer):
-    gen = balancer.serve_request(build_request(ends_at=100.0), 0.0)
-    send = next(gen)
-    assert isinstance(gen.send((100.0, ended(send.server, i.Outcome.TIMEOUT))), i.Shed | i.Fail)
+def test_no_attempt_after_the_clients_deadline(balancer):
+    decisions = balancer.serve_request(build_request(deadline=100.0), 0.0)
+    send = next(decisions)
+    assert isinstance(decisions.send((100.0, attempt_ended(send.server, i.Outcome.TIMEOUT))), i.Shed | i.Fail)
 
 
-def test_draining_machine_gets_nothing(balancer):
-    rows = [build_entry(n, status=i.ServerStatus.DRAINING) for n in (0, 1)]
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, rows), 0.0)
+def test_draining_server_gets_no_requests(balancer):
+    entries = [build_entry(n, status=i.ServerStatus.DRAINING) for n in (0, 1)]
+    balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, entries), 0.0)
     assert next(balancer.serve_request(build_request(), 0.0)).server == 2
 
 
-def test_empty_list_is_answered_at_once(balancer):
+def test_empty_list_sheds_at_once(balancer):
     balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, []), 0.0)
     assert isinstance(next(balancer.serve_request(build_request(), 0.0)), i.Shed)
 
 
-def test_cold_machine_keeps_a_budget(balancer):
+def test_cold_server_gets_no_more_than_its_budget(balancer):
     balancer.update_server_list(
-        i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(1, started=900.0)]), 900.0
+        i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(1, started_at=900.0)]), 900.0
     )
-    cold, balancer.rate = balancer.servers[1], 0.1
+    cold, balancer.completion_rate = balancer.servers[1], 0.1
     room = 2.0 * balancer.warmth(cold, 1000.0) * 0.1 * 2000.0
-    cold.sent.append((950.0, room - 10.0))
-    cold.luck, cold.luck_until = 1.0, 1e9
-    assert balancer.cold_room(cold, 9.0, 1000.0)
-    assert not balancer.cold_room(cold, 11.0, 1000.0)
+    cold.cold_attempts.append((950.0, room - 10.0))
+    cold.rounding_draw, cold.draw_expires_at = 1.0, 1e9
+    assert balancer.has_cold_budget(cold, 9.0, 1000.0)
+    assert not balancer.has_cold_budget(cold, 11.0, 1000.0)
 
 
-def test_small_fronts_together_keep_a_cold_machines_budget():
+def test_small_fronts_together_keep_to_the_budget_of_a_cold_server():
     shares = []
     for seed in range(200):
-        b = Balancer(build_settings(), seed, 0.0)
-        b.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, [build_entry(0, started=900.0)]), 900.0)
-        b.rate = 0.01  # room for a tenth of a try
-        b.servers[0].luck, b.servers[0].luck_until = b.random(), 1e9
-        shares.append(b.cold_room(b.servers[0], 10 * 2.0 * 0.3 * 0.01 * 2000.0, 900.0))
+        balancer = Balancer(build_settings(), seed, 0.0)
+        balancer.update_server_list(
+            i.ServerListUpdate(i.ListKind.WHOLE, [build_entry(0, started_at=900.0)]), 900.0
+        )
+        balancer.completion_rate = 0.01  # budget for a tenth of an attempt
+        balancer.servers[0].rounding_draw, balancer.servers[0].draw_expires_at = balancer.random(), 1e9
+        shares.append(balancer.has_cold_budget(balancer.servers[0], 10 * 2.0 * 0.3 * 0.01 * 2000.0, 900.0))
     assert 5 <= sum(shares) <= 40
 
 
-def test_a_large_fleet_is_ranked_by_a_few_machines(balancer, monkeypatch):
-    rows = [build_entry(n) for n in range(200)]
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, rows), 0.0)
-    seen = []
-    monkeypatch.setattr(balancer, "expected", lambda m, now: seen.append(m) or 1.0)
+def test_only_a_sample_of_a_large_fleet_is_compared(balancer, monkeypatch):
+    entries = [build_entry(n) for n in range(200)]
+    balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, entries), 0.0)
+    compared = []
+    monkeypatch.setattr(balancer, "expected_cost", lambda server, now: compared.append(server) or 1.0)
     assert balancer.best_server(False, build_request(), 0.0, []) is not None
-    assert len(seen) <= balancer.SAMPLE
+    assert len(compared) <= balancer.SAMPLE_SIZE
 
 
-def test_the_only_fit_machine_of_a_large_fleet_is_found(balancer):
-    rows = [build_entry(n) for n in range(200)]
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, rows), 0.0)
+def test_the_only_usable_server_of_a_large_fleet_is_found(balancer):
+    entries = [build_entry(n) for n in range(200)]
+    balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, entries), 0.0)
     for n in range(1, 200):
         balancer.servers[n].entry.status = i.ServerStatus.DRAINING
     assert balancer.best_server(False, build_request(), 0.0, []).entry.server == 0
 
 
-def test_exposure_counts_tries_in_the_span(balancer):
+def test_exposure_counts_attempts_in_the_window(balancer):
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
-    balancer.taken[0].extend([1000.0] * 6)
-    balancer.trial_sent[0].extend([1000.0] * 3)
-    assert balancer.exposure_room(build_request(), 2, 1500.0)
-    balancer.trial_sent[0].append(1400.0)
-    assert not balancer.exposure_room(build_request(), 2, 1500.0)
+    balancer.request_times[0].extend([1000.0] * 6)
+    balancer.trial_attempt_times[0].extend([1000.0] * 3)
+    assert balancer.has_exposure_room(build_request(), 2, 1500.0)
+    balancer.trial_attempt_times[0].append(1400.0)
+    assert not balancer.has_exposure_room(build_request(), 2, 1500.0)
 
 
-def test_unannounced_build_counts_as_first_stage(balancer):
+def test_unannounced_build_has_the_cap_of_the_first_stage(balancer):
     assert balancer.exposure_cap(5) == (0.1, 0)
 
 
-def test_cap_zero_and_going_back_shut_the_build(balancer):
+def test_build_that_goes_back_gets_no_attempts(balancer):
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.GOING_BACK, cap=0.5), 0.0)
-    balancer.taken[0].extend([0.0] * 50)
-    assert not balancer.exposure_room(build_request(), 2, 0.0)
+    balancer.request_times[0].extend([0.0] * 50)
+    assert not balancer.has_exposure_room(build_request(), 2, 0.0)
 
 
-def test_vote_is_cast_once_and_renewed_before_it_lapses(balancer):
+def test_vote_is_cast_once_and_renewed_before_it_expires(balancer):
     vote = i.Vote(2, i.Verdict.ON, 0)
-    assert balancer.cast(vote, 0.0) == [vote]
-    balancer.update_stage(build_stage_update(2, 0, i.RolloutPhase.ON_TRIAL, cap=0.1, answers=True), 200.0)
-    assert balancer.cast(vote, 1000.0) == []
-    assert balancer.cast(vote, 5000.0) == [vote]
+    assert balancer.cast_vote(vote, 0.0) == [vote]
+    balancer.update_stage(
+        build_stage_update(2, 0, i.RolloutPhase.ON_TRIAL, cap=0.1, answers_vote=True), 200.0
+    )
+    assert balancer.cast_vote(vote, 1000.0) == []
+    assert balancer.cast_vote(vote, 5000.0) == [vote]
 
 
-def leased(balancer, followed_at=0.0, lost_at=500.0, pushed=False):
-    """A lease of this balancer's list: followed until a moment, then nobody confirms it."""
+def with_lease(balancer, followed_at=0.0, lost_at=500.0, pushed=False):
+    """Give the balancer a lease on its server list: confirmed at ``followed_at``, lost at ``lost_at``."""
     settings = replace(balancer.settings, list_on_request=not pushed)
     balancer.lease = ListLease(LeaseTerms.from_settings(settings))
     balancer.lease.confirm(followed_at)
@@ -128,467 +134,488 @@
     return balancer.lease
 
 
-def serve_one(balancer, now, machine=None, end=i.Outcome.COMPLETED, connected_at=0.0, ident=1):
-    """One request that is sent at ``now`` and ends 10 ms later; the machine that it went to."""
-    act = next(balancer.serve_request(build_request(ident, ends_at=now + 2000.0), now))
+def serve_one(balancer, now, server=None, outcome=i.Outcome.COMPLETED, connected_at=0.0, request_id=1):
+    """Send one request at ``now`` that ends 10 ms later. Returns its server, or None if it was shed."""
+    act = next(balancer.serve_request(build_request(request_id, deadline=now + 2000.0), now))
     if not isinstance(act, i.SendAttempt):
         return None
     balancer.record_outcome(
-        ident, i.AttemptEnded(act.server, 0, end, 10.0, None, True, connected_at), now + 10.0
+        request_id, i.AttemptEnded(act.server, 0, outcome, 10.0, None, True, connected_at), now + 10.0
     )
     return act.server
 
 
-def test_a_list_that_nobody_confirms_is_acted_on_for_no_longer_than_changes_stay_untold(balancer):
-    lease = leased(balancer)
-    told = 6000.0 + 250.0  # from here on a send breaks the rule, and a front may be held for 150 ms before it
-    assert all(balancer.may_send_to(m, told - 151.0) for m in balancer.servers.values())
-    assert serve_one(balancer, told - 151.0) is not None
-    for m in balancer.servers.values():
-        m.served_at = -1e9
-    assert serve_one(balancer, told - 149.0) is None
-    lease.confirm(told)
-    assert serve_one(balancer, told) is not None
+def test_unconfirmed_list_is_used_for_no_longer_than_changes_may_go_unnoticed(balancer):
+    lease = with_lease(balancer)
+    # From then on a send breaks the rule. A front may be suspended for 150 ms between its check and the send.
+    unnoticed_ms = 6000.0 + 250.0
+    assert all(balancer.may_send_to(server, unnoticed_ms - 151.0) for server in balancer.servers.values())
+    assert serve_one(balancer, unnoticed_ms - 151.0) is not None
+    for server in balancer.servers.values():
+        server.served_at = -1e9
+    assert serve_one(balancer, unnoticed_ms - 149.0) is None
+    lease.confirm(unnoticed_ms)
+    assert serve_one(balancer, unnoticed_ms) is not None
 
 
-def test_past_the_lease_only_machines_that_took_requests_lately_are_sent_to(balancer):
-    leased(balancer)
+def test_after_the_lease_expires_only_servers_that_served_recently_get_requests(balancer):
+    with_lease(balancer)
     balancer.servers[1].served_at = 5000.0
-    assert {serve_one(balancer, 7000.0, ident=n) for n in range(12)} == {1}
-    assert serve_one(balancer, 7000.0 + 6200.0) is None  # and not for ever by one request
+    assert {serve_one(balancer, 7000.0, request_id=n) for n in range(12)} == {1}
+    assert serve_one(balancer, 7000.0 + 6200.0) is None  # one served request does not last for ever
 
 
-def test_a_request_served_over_a_connection_made_while_blind_says_nothing_of_the_listed_process(balancer):
-    leased(balancer)
+def test_request_served_over_a_connection_made_while_blind_does_not_count(balancer):
+    with_lease(balancer)
     first = serve_one(balancer, 5000.0, connected_at=4900.0)
     assert balancer.servers[first].served_at < 0
-    again = serve_one(balancer, 5100.0, connected_at=400.0)
-    assert balancer.servers[again].served_at == 5100.0
+    second = serve_one(balancer, 5100.0, connected_at=400.0)
+    assert balancer.servers[second].served_at == 5100.0
 
 
-def test_past_the_lease_a_machine_that_turns_a_request_away_gets_no_other(balancer):
-    leased(balancer)
+def test_after_the_lease_expires_a_server_that_rejects_a_request_gets_no_other(balancer):
+    with_lease(balancer)
     balancer.servers[1].served_at = 6000.0
-    assert serve_one(balancer, 7000.0, end=i.Outcome.FULL) == 1
-    assert [serve_one(balancer, now, ident=2) for now in (7100.0, 9500.0, 12000.0)] == [None] * 3
+    assert serve_one(balancer, 7000.0, outcome=i.Outcome.FULL) == 1
+    assert [serve_one(balancer, now, request_id=2) for now in (7100.0, 9500.0, 12000.0)] == [None] * 3
 
 
-def test_blind_a_machine_that_turns_reqs_away_is_left_alone(balancer):
-    leased(balancer)
-    machine = serve_one(balancer, 1000.0, end=i.Outcome.FULL)
-    assert balancer.servers[machine].ejected_until >= 3000.0
-    assert all(serve_one(balancer, 1100.0, ident=n) != machine for n in range(2, 12))
+def test_server_that_rejects_a_request_while_blind_is_ejected(balancer):
+    with_lease(balancer)
+    rejecting = serve_one(balancer, 1000.0, outcome=i.Outcome.FULL)
+    assert balancer.servers[rejecting].ejected_until >= 3000.0
+    assert all(serve_one(balancer, 1100.0, request_id=n) != rejecting for n in range(2, 12))
 
 
-def test_a_list_from_before_the_start_is_not_acted_on_until_one_is_read(balancer):
+def test_list_from_before_the_start_is_not_used_until_one_is_received(balancer):
     balancer.lease = ListLease(LeaseTerms.from_settings(balancer.settings))
     assert serve_one(balancer, 10.0) is None
     balancer.lease.confirm(20.0)
     assert serve_one(balancer, 20.0) is not None
 
 
-def test_where_lists_are_pushed_a_lost_watch_ends_the_lease_and_a_silent_agent_does_not(balancer):
-    lease = leased(balancer, lost_at=500.0, pushed=True)
+def test_with_pushed_lists_a_lost_stream_ends_the_lease_and_a_silent_agent_does_not(balancer):
+    lease = with_lease(balancer, lost_at=500.0, pushed=True)
     assert lease.is_valid(599.0) and not lease.is_valid(601.0)
-    lease.set_call_pending(True)  # an agent that leaves the call unanswered learns nothing either
+    lease.set_call_pending(True)  # an agent that leaves the call unanswered gets no changes either
     assert lease.is_valid(9000.0)
 
 
-def test_past_the_lease_what_is_refused_may_come_back_at_a_time_that_is_told(balancer):
-    leased(balancer)
+def test_after_the_lease_expires_shed_requests_get_a_retry_after(balancer):
+    with_lease(balancer)
     act = next(balancer.serve_request(build_request(), 7000.0))
     assert isinstance(act, i.Shed) and act.retry_after_ms > 0
 
 
-def test_a_try_withdrawn_before_its_first_byte_costs_no_retry(balancer):
-    balancer.spare_tries = 0.0
-    life = balancer.serve_request(build_request(1), 0.0)
-    act = next(life)
+def test_attempt_withdrawn_before_its_first_byte_costs_no_retry_token(balancer):
+    balancer.retry_tokens = 0.0
+    decisions = balancer.serve_request(build_request(1), 0.0)
+    act = next(decisions)
     ended = i.AttemptEnded(act.server, 0, i.Outcome.MOOT, 1.0, None, False)
     balancer.record_outcome(1, ended, 1.0)
-    assert isinstance(life.send((1.0, ended)), i.SendAttempt)
+    assert isinstance(decisions.send((1.0, ended)), i.SendAttempt)
 
 
-def test_trial_tries_that_hang_do_not_close_the_door(balancer):
+def test_attempts_that_hang_on_the_trial_build_do_not_stop_admission(balancer):
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
     balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0)
     for n in range(9):
         balancer.servers[3].in_flight[n, 0] = Attempt(0, 0.0, 1.0, False, None, 1.0)
-    balancer.limit = 4.0
-    balancer.regroup()
+    balancer.in_flight_limit = 4.0
+    balancer.rebuild_pools()
     assert isinstance(next(balancer.serve_request(build_request(), 0.0)), i.SendAttempt)
 
 
-def test_what_is_not_seen_fades(balancer):
-    shunned = balancer.servers[0]
-    shunned.others, shunned.pace, shunned.faded = 10.0, 3.0, 1.0
-    balancer.expected(shunned, 10_000.0)
-    assert shunned.others < 0.1 and shunned.pace < 2.0
+def test_estimates_without_new_samples_decay(balancer):
+    unused = balancer.servers[0]
+    unused.other_load, unused.relative_latency, unused.decayed_at = 10.0, 3.0, 1.0
+    balancer.expected_cost(unused, 10_000.0)
+    assert unused.other_load < 0.1 and unused.relative_latency < 2.0
 
 
-def test_a_key_answered_by_the_trial_build_goes_to_no_earlier_one(balancer):
+def test_key_answered_by_the_trial_build_goes_to_no_earlier_build(balancer):
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
-    balancer.answered.add("k")
-    assert not balancer.may_attempt(balancer.servers[0], build_request(key="k"), 0.0, [])
+    balancer.trial_answered_keys.add("k")
+    assert not balancer.may_attempt(balancer.servers[0], build_request(dedup_key="k"), 0.0, [])
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.RELEASED), 0.0)
-    assert not balancer.may_attempt(balancer.servers[0], build_request(key="k"), 0.0, [])
+    assert not balancer.may_attempt(balancer.servers[0], build_request(dedup_key="k"), 0.0, [])
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.GOING_BACK), 0.0)
-    assert balancer.may_attempt(balancer.servers[0], build_request(key="k"), 0.0, [])
+    assert balancer.may_attempt(balancer.servers[0], build_request(dedup_key="k"), 0.0, [])
 
 
-def test_a_laden_trial_machine_waits(balancer):
+def test_loaded_trial_server_gets_no_more_attempts(balancer):
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.9), 0.0)
     balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0)
-    balancer.taken[0].extend([0.0] * 50)
-    balancer.credit = 2.0
+    balancer.request_times[0].extend([0.0] * 50)
+    balancer.trial_credit = 2.0
     assert balancer.choose_server(build_request(), 0.0, []).entry.server == 3
     for n in range(3):
         balancer.servers[3].in_flight[n, 0] = Attempt(0, 0.0, 1.0, False, None, 1.0)
     assert balancer.choose_server(build_request(), 0.0, []).entry.server != 3
 
 
-def test_a_listed_build_is_judged_before_its_news(balancer):
+def test_trial_starts_when_a_build_is_listed_before_its_stage_update(balancer):
     balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0)
     assert balancer.trial_test.build == 2
 
 
-def test_a_try_one_span_ago_still_counts(balancer):
+def test_attempt_exactly_one_window_ago_still_counts(balancer):
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
-    balancer.taken[0].extend([1000.0] * 6)
-    balancer.trial_sent[0].extend([500.0] + [1000.0] * 3)
-    assert not balancer.exposure_room(build_request(), 2, 2500.0)
+    balancer.request_times[0].extend([1000.0] * 6)
+    balancer.trial_attempt_times[0].extend([500.0] + [1000.0] * 3)
+    assert not balancer.has_exposure_room(build_request(), 2, 2500.0)
 
 
-def test_a_moot_vote_on_tells_that_the_stage_is_over(balancer):
+def test_moot_vote_to_advance_shows_that_the_stage_is_over(balancer):
     balancer.update_stage(build_stage_update(2, 0, i.RolloutPhase.ON_TRIAL, cap=0.1), 0.0)
-    balancer.cast(i.Vote(2, i.Verdict.ON, 0), 100.0)
-    balancer.update_stage(build_stage_update(0, 0, end=i.Outcome.MOOT, answers=True), 5000.0)
+    balancer.cast_vote(i.Vote(2, i.Verdict.ON, 0), 100.0)
+    balancer.update_stage(build_stage_update(0, 0, outcome=i.Outcome.MOOT, answers_vote=True), 5000.0)
     assert (balancer.stage, balancer.exposure_cap(2)) == (1, (0.1, 0))
-    assert balancer.stage_at == balancer.trial_test.stage_age  # the stage we knew cannot have been shorter
+    # The stage that is over cannot have been shorter.
+    assert balancer.stage_started_at == balancer.trial_test.stage_duration_ms
     balancer.update_stage(build_stage_update(2, 0, i.RolloutPhase.ON_TRIAL, cap=0.1), 5100.0)
     assert balancer.stage == 1
 
 
-def test_a_machine_that_answers_full_again_and_again_rests_longer(balancer):
+def test_server_that_rejects_repeatedly_is_ejected(balancer):
     for n in range(4):
         balancer.servers[0].in_flight[n, 0] = Attempt(0, 0.0, 1.0, False, None, 2.0)
-        balancer.record_outcome(n, ended(0, i.Outcome.FULL), 0.0)
+        balancer.record_outcome(n, attempt_ended(0, i.Outcome.FULL), 0.0)
     assert balancer.servers[0].ejected_until >= 2000.0
 
 
-def test_the_window_of_reqs_empties_with_no_build_on_trial(balancer):
-    balancer.taken[0].extend([0.0] * 50)
+def test_request_window_is_pruned_without_a_build_on_trial(balancer):
+    balancer.request_times[0].extend([0.0] * 50)
     balancer.wake(5000.0)
-    assert not balancer.taken[0]
+    assert not balancer.request_times[0]
 
 
-def test_refusing_is_logged_when_it_begins_and_ends(balancer):
-    balancer.limit = 0.0
+def test_shedding_is_logged_when_it_begins_and_ends(balancer):
+    balancer.in_flight_limit = 0.0
     next(balancer.serve_request(build_request(), 0.0))
     assert any("began" in a.text for a in balancer.wake(100.0) if isinstance(a, i.LogMessage))
     assert any("ended" in a.text for a in balancer.wake(1200.0) if isinstance(a, i.LogMessage))
 
 
-def end(b, machine, how, number, took=50.0, route=0):
-    """One more try on a machine comes to this end."""
-    b.servers[machine].in_flight[number, 0] = Attempt(route, 0.0, 1.0, True, None, 2.0)
-    b.open += 1
-    b.record_outcome(number, ended(machine, how, took=took), took)
+def end_attempt(balancer, server, outcome, number, duration_ms=50.0, route=0):
+    """Record one more attempt on a server, with this outcome."""
+    balancer.servers[server].in_flight[number, 0] = Attempt(route, 0.0, 1.0, True, None, 2.0)
+    balancer.in_flight += 1
+    balancer.record_outcome(number, attempt_ended(server, outcome, duration_ms=duration_ms), duration_ms)
 
 
-def test_what_all_machines_share_ejects_none(balancer):
+def test_failures_that_all_servers_share_eject_none(balancer):
     for n in range(40):
-        end(balancer, n % 3, i.Outcome.ERRORED if n % 2 else i.Outcome.COMPLETED, n)
-    assert not balancer.resting(balancer.servers.values(), 60.0)
+        end_attempt(balancer, n % 3, i.Outcome.ERRORED if n % 2 else i.Outcome.COMPLETED, n)
+    assert not balancer.count_ejected(balancer.servers.values(), 60.0)
 
 
-def test_a_machine_that_fails_apart_rests(balancer):
+def test_single_failing_server_is_ejected(balancer):
     for n in range(4):
-        end(balancer, 1, i.Outcome.ERRORED, n)
+        end_attempt(balancer, 1, i.Outcome.ERRORED, n)
     assert balancer.servers[1].ejected_until > 2000.0
 
 
-def test_a_time_out_within_the_objective_tells_nothing(balancer):
+def test_timeout_within_the_objective_counts_for_nothing(balancer):
     for n in range(20):
-        end(balancer, 0, i.Outcome.TIMEOUT, n, took=200.0)
-    assert (balancer.servers[0].failing, sum(balancer.seen), len(balancer.trial_test.earlier)) == (
+        end_attempt(balancer, 0, i.Outcome.TIMEOUT, n, duration_ms=200.0)
+    assert (
+        balancer.servers[0].failure_rate,
+        sum(balancer.recent_samples),
+        len(balancer.trial_test.earlier),
+    ) == (
         0.0,
         0.0,
         0,
     )
 
 
-def test_a_route_that_is_late_alone_counts_neither_for_judge_nor_limit(balancer):
-    balancer.limit = 100.0
+def test_route_that_alone_is_late_counts_neither_for_the_trial_nor_for_the_limit(balancer):
+    balancer.in_flight_limit = 100.0
     for n in range(60):
-        end(balancer, n % 3, i.Outcome.COMPLETED, n, took=1500.0 if n % 2 else 80.0, route=n % 2)
+        end_attempt(
+            balancer, n % 3, i.Outcome.COMPLETED, n, duration_ms=1500.0 if n % 2 else 80.0, route=n % 2
+        )
     samples = len(balancer.trial_test.earlier)
-    balancer.adapt()
-    end(balancer, 0, i.Outcome.COMPLETED, 99, took=1500.0, route=1)
-    assert balancer.slow(1) and not balancer.slow(0)
-    assert balancer.limit >= 100.0 and len(balancer.trial_test.earlier) == samples
+    balancer.adapt_limit()
+    end_attempt(balancer, 0, i.Outcome.COMPLETED, 99, duration_ms=1500.0, route=1)
+    assert balancer.is_slow_route(1) and not balancer.is_slow_route(0)
+    assert balancer.in_flight_limit >= 100.0 and len(balancer.trial_test.earlier) == samples
 
 
-def test_a_refused_connection_rests_the_machine_and_blames_nothing(balancer):
-    end(balancer, 0, i.Outcome.NOT_CONNECTED, 1)
+def test_refused_connection_ejects_the_server_and_is_no_failure(balancer):
+    end_attempt(balancer, 0, i.Outcome.NOT_CONNECTED, 1)
     assert balancer.servers[0].ejected_until > 1000.0
-    assert balancer.servers[0].failing == 0.0 and not balancer.trial_test.earlier
+    assert balancer.servers[0].failure_rate == 0.0 and not balancer.trial_test.earlier
 
 
-def test_a_front_refused_connections_stays_with_those_it_has(balancer):
-    balancer.squeeze = 0.5
-    balancer.servers[0].linked = 4000.0
-    assert balancer.expected(balancer.servers[0], 5000.0) * 5 < balancer.expected(balancer.servers[1], 5000.0)
+def test_front_whose_connections_are_refused_stays_with_connected_servers(balancer):
+    balancer.connect_failure_rate = 0.5
+    balancer.servers[0].last_connected_at = 4000.0
+    assert balancer.expected_cost(balancer.servers[0], 5000.0) * 5 < balancer.expected_cost(
+        balancer.servers[1], 5000.0
+    )
 
 
-def test_tries_that_could_not_connect_do_not_spend_the_budget(balancer):
-    balancer.spare_tries = 0.0
-    gen = balancer.serve_request(build_request(), 0.0)
-    first = next(gen)
-    assert isinstance(gen.send((50.0, ended(first.server, i.Outcome.NOT_CONNECTED))), i.SendAttempt)
+def test_attempts_that_could_not_connect_cost_no_retry_token(balancer):
+    balancer.retry_tokens = 0.0
+    decisions = balancer.serve_request(build_request(), 0.0)
+    first = next(decisions)
+    assert isinstance(
+        decisions.send((50.0, attempt_ended(first.server, i.Outcome.NOT_CONNECTED))), i.SendAttempt
+    )
 
 
-def test_a_jam_seen_by_a_small_front_bounds_it(balancer):
+def test_timeouts_lower_the_limit_of_a_small_front(balancer):
     for n in range(3):
-        end(balancer, n, i.Outcome.TIMEOUT, n, took=900.0)
+        end_attempt(balancer, n, i.Outcome.TIMEOUT, n, duration_ms=900.0)
     for _ in range(20):
-        balancer.adapt()
-    assert balancer.limit <= balancer.by_chance(6.0)  # two a machine
+        balancer.adapt_limit()
+    assert balancer.in_flight_limit <= balancer.chance_bound(6.0)  # two on each server
 
 
-def reported(balancer, machine, load, ident, at=100.0):
-    balancer.servers[machine].in_flight[ident, 0] = Attempt(0, 0.0, 1.0, True, None, 2.0)
-    balancer.record_outcome(ident, i.AttemptEnded(machine, 0, i.Outcome.COMPLETED, 50.0, load, True), at)
+def report_load(balancer, server, load, request_id, at=100.0):
+    balancer.servers[server].in_flight[request_id, 0] = Attempt(0, 0.0, 1.0, True, None, 2.0)
+    balancer.record_outcome(request_id, i.AttemptEnded(server, 0, i.Outcome.COMPLETED, 50.0, load, True), at)
 
 
-def test_late_reports_of_our_own_tries_are_not_taken_for_others(balancer):
-    # Guards against shunning machines: a late report still holds what we have had out there before.
-    m = balancer.servers[0]
+def test_late_reports_of_own_attempts_are_not_counted_as_other_load(balancer):
+    # Guards against avoiding servers for no reason: a late report still includes this front's own earlier
+    # attempts.
+    server = balancer.servers[0]
     for n in range(200):
         for k in range(4 if n % 2 else 0):
-            m.in_flight[k, 1] = Attempt(0, 0.0, 1.0, True, None, 2.0)
-        reported(balancer, 0, 0.0 if n % 2 else 4.0, 100 + n)  # told of the time before
+            server.in_flight[k, 1] = Attempt(0, 0.0, 1.0, True, None, 2.0)
+        report_load(balancer, 0, 0.0 if n % 2 else 4.0, 100 + n)  # the load of the time before
         for k in range(4):
-            m.in_flight.pop((k, 1), None)
-    assert abs(m.others) < 0.5  # of 4 out; a clamp at 0 settles at 2
+            server.in_flight.pop((k, 1), None)
+    assert abs(server.other_load) < 0.5  # of 4 in flight; with a clamp at 0 it would settle at 2
 
 
-def test_a_machine_not_heard_of_is_taken_to_hold_what_machines_of_its_size_report():
-    b = Balancer(build_settings(balancers=200, load_column=0), 7, 0.0)
+def test_server_without_reports_is_assumed_to_hold_what_others_of_its_size_report():
+    balancer = Balancer(build_settings(balancers=200, load_column=0), 7, 0.0)
     sized = [replace(build_entry(n), weight=3.0 + n % 2) for n in range(30)]
-    b.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, sized), 0.0)
+    balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, sized), 0.0)
     for n in range(29):
-        reported(b, n, 2.0 * sized[n].weight, 100.0 + n)
+        report_load(balancer, n, 2.0 * sized[n].weight, 100.0 + n)
     for _ in range(5):
         for n in range(29):
-            reported(b, n, 2.0 * sized[n].weight, 200.0 + n)
-    m = b.servers[29]
-    b.expected(m, 10_000.0)
-    assert abs(m.others - 8.0) < 0.5
+            report_load(balancer, n, 2.0 * sized[n].weight, 200.0 + n)
+    server = balancer.servers[29]
+    balancer.expected_cost(server, 10_000.0)
+    assert abs(server.other_load - 8.0) < 0.5
 
 
-@pytest.mark.parametrize("held", [0.0, 2.0])
-def test_fronts_that_know_no_machine_load_them_all_by_size(held):
-    # Guards against what is harmless in one front: all prefer the large ones, which then have no room.
+@pytest.mark.parametrize("other_load", [0.0, 2.0])
+def test_fronts_without_statistics_load_servers_by_size(other_load):
+    # Guards against a preference that is harmless in one front: if all fronts prefer the large servers, these
+    # have no room.
     sizes, loads = {n: 3.0 + n % 2 for n in range(100)}, dict.fromkeys(range(100), 0)
     for seed in range(300):
-        b = Balancer(build_settings(balancers=300, load_column=0), seed, 0.0)
-        b.update_stage(build_stage_update(), 0.0)
-        b.update_server_list(
+        balancer = Balancer(build_settings(balancers=300, load_column=0), seed, 0.0)
+        balancer.update_stage(build_stage_update(), 0.0)
+        balancer.update_server_list(
             i.ServerListUpdate(
                 i.ListKind.WHOLE, [replace(build_entry(n), weight=w) for n, w in sizes.items()]
             ),
             0.0,
         )
-        b.level = held
+        balancer.other_load_per_size = other_load
         for n in range(20):
-            loads[b.best_server(False, build_request(n), 0.0, []).entry.server] += 1
-    large = sum(n for m, n in loads.items() if sizes[m] == 4.0)
+            loads[balancer.best_server(False, build_request(n), 0.0, []).entry.server] += 1
+    large = sum(count for server, count in loads.items() if sizes[server] == 4.0)
     assert abs(large / sum(loads.values()) - 4 / 7) < 0.04
 
 
-def test_one_heavy_req_does_not_make_its_machine_slow_or_silent(balancer):
-    m = balancer.servers[0]
+def test_one_expensive_request_makes_its_server_neither_slow_nor_silent(balancer):
+    server = balancer.servers[0]
     for n in range(60):
-        reported(balancer, 0, None, 10 + n)
-    pace = m.pace
-    m.in_flight[2, 0] = Attempt(0, 100.0, 1.0, True, None, 2.0)
+        report_load(balancer, 0, None, 10 + n)
+    latency_before = server.relative_latency
+    server.in_flight[2, 0] = Attempt(0, 100.0, 1.0, True, None, 2.0)
     balancer.record_outcome(2, i.AttemptEnded(0, 0, i.Outcome.COMPLETED, 5000.0, None, True), 5100.0)
-    assert m.pace < pace + 0.15
-    m.in_flight[3, 0], m.linked = Attempt(0, 5100.0, 1.0, True, None, 2.0), 9000.0
-    answering = balancer.expected(m, 9001.0)
-    m.linked = 5000.0
-    assert balancer.expected(m, 9001.0) > 5 * answering
+    assert server.relative_latency < latency_before + 0.15
+    server.in_flight[3, 0], server.last_connected_at = Attempt(0, 5100.0, 1.0, True, None, 2.0), 9000.0
+    answering = balancer.expected_cost(server, 9001.0)
+    server.last_connected_at = 5000.0
+    assert balancer.expected_cost(server, 9001.0) > 5 * answering
 
 
-def test_while_refusing_a_repeat_that_can_only_be_late_goes_first(balancer):
+def test_repeat_that_can_only_be_late_is_shed_first(balancer):
     for _ in range(100):
-        balancer.room(build_request(ends_at=2000.0), 0.0)
-    balancer.limit = 10.0
+        balancer.admission_limit(build_request(deadline=2000.0), 0.0)
+    balancer.in_flight_limit = 10.0
     first, repeat = (
-        balancer.room(build_request(ends_at=2000.0), 0.0),
-        balancer.room(build_request(ends_at=900.0), 0.0),
+        balancer.admission_limit(build_request(deadline=2000.0), 0.0),
+        balancer.admission_limit(build_request(deadline=900.0), 0.0),
     )
     assert repeat < 0.7 * first
-    for _ in range(2000):  # clients that never bring more are all first asks
-        balancer.room(build_request(ends_at=900.0), 0.0)
-    assert balancer.room(build_request(ends_at=900.0), 0.0) > 0.9 * first
+    for _ in range(2000):  # clients that never bring a longer deadline send first requests only
+        balancer.admission_limit(build_request(deadline=900.0), 0.0)
+    assert balancer.admission_limit(build_request(deadline=900.0), 0.0) > 0.9 * first
 
 
-def test_a_shed_req_is_told_to_come_back_while_it_may_be_in_time(balancer):
+def test_retry_after_of_a_shed_request_leaves_time_to_meet_the_objective(balancer):
     assert balancer.shed_or_fail(build_request(), []) == i.Shed(320.0)
 
 
-def test_refused_reqs_earn_trial_tries_only_where_load_is_seen(balancer):
-    balancer.part, balancer.credit, balancer.limit = 0.5, 0.0, 0.0
+def test_shed_requests_add_trial_credit_only_where_load_is_visible(balancer):
+    balancer.trial_credit_per_request, balancer.trial_credit, balancer.in_flight_limit = 0.5, 0.0, 0.0
     next(balancer.serve_request(build_request(), 0.0))
-    assert balancer.credit == 0.0
-    balancer.mean_open = 10.0
+    assert balancer.trial_credit == 0.0
+    balancer.mean_in_flight = 10.0
     next(balancer.serve_request(build_request(), 0.0))
-    assert balancer.credit == 0.5
+    assert balancer.trial_credit == 0.5
 
 
-def test_a_slow_route_is_kept_off_the_trial(balancer):
+def test_slow_route_is_not_sent_to_the_trial_build(balancer):
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.9), 0.0)
     balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0)
-    balancer.taken[0].extend([0.0] * 50)
-    balancer.credit, balancer.share = 2.0, [1.5, 0.2, 0.2]
+    balancer.request_times[0].extend([0.0] * 50)
+    balancer.trial_credit, balancer.latency_ratio = 2.0, [1.5, 0.2, 0.2]
     assert balancer.choose_server(build_request(), 0.0, []).entry.server != 3
 
 
-def test_counts_of_no_tries_are_ignored(balancer):
+def test_counts_of_no_attempts_are_ignored(balancer):
     balancer.record_counts(i.AttemptCounts(9, 0, 0, 0, 0.0, 0.0), 0.0)
-    assert not balancer.trial_test.told and not balancer.trial_test.counts.any()
+    assert not balancer.trial_test.has_new_counts and not balancer.trial_test.counts.any()
 
 
-@pytest.mark.parametrize(("counts", "busy"), [(0.0, [1.35, 1.175, 1.0, 1.0]), (2000.0, [1.35] * 4)])
-def test_the_trials_extra_part_falls_with_the_strain_where_no_counts_come(counts, busy):
-    b = Balancer(build_settings(roll={"counts_interval_ms": counts}), 7, 0.0)
-    b.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=1.0), 0.0)
-    b.update_server_list(
+@pytest.mark.parametrize(("counts", "expected"), [(0.0, [1.35, 1.175, 1.0, 1.0]), (2000.0, [1.35] * 4)])
+def test_extra_share_of_the_trial_falls_with_load_where_no_counts_are_sent(counts, expected):
+    balancer = Balancer(build_settings(rollout={"counts_interval_ms": counts}), 7, 0.0)
+    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=1.0), 0.0)
+    balancer.update_server_list(
         i.ServerListUpdate(
             i.ListKind.WHOLE, [build_entry(0), build_entry(1), build_entry(2), build_entry(3, build=2)]
         ),
         0.0,
     )
-    parts = []
-    for strain in (0.0, b.TARGET / 2, b.TARGET, 2 * b.TARGET):
-        b.strain = strain
-        b.share_out(1000.0)
-        parts.append(4 * b.part)  # the trial has a quarter of the machines
-    assert parts == pytest.approx(busy)
+    shares = []
+    for ratio in (0.0, balancer.TARGET_RATIO / 2, balancer.TARGET_RATIO, 2 * balancer.TARGET_RATIO):
+        balancer.mean_latency_ratio = ratio
+        balancer.update_trial_credit(1000.0)
+        shares.append(4 * balancer.trial_credit_per_request)  # the trial has a quarter of the servers
+    assert shares == pytest.approx(expected)
 
 
-def test_operators_narrow_tries_budget_and_the_trials_share(balancer):
+def test_operators_limit_attempts_retry_budget_and_the_share_of_the_trial(balancer):
     settings = balancer.settings
     routes = (replace(settings.routes[0], max_attempts=1, retry_budget=0.0), *settings.routes[1:])
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
-    life = balancer.serve_request(
-        build_request(1), 0.0
-    )  # taken before: it sees the version before for its whole life
-    first = next(life)
+    # Keeps the settings that were valid when the request arrived.
+    decisions = balancer.serve_request(build_request(1), 0.0)
+    first = next(decisions)
     balancer.narrow_settings(i.SettingsNarrowed(replace(settings, routes=routes), 0.2), 0.0)
     assert balancer.exposure_cap(2) == (0.2, 1) and balancer.exposure_cap(3)[0] == 0.1
-    assert isinstance(life.send((1.0, ended(first.server, i.Outcome.NOT_CONNECTED))), i.SendAttempt)
-    spare = balancer.spare_tries
-    life = balancer.serve_request(build_request(2), 0.0)
-    first = next(life)
-    assert balancer.spare_tries == spare
-    assert isinstance(life.send((1.0, ended(first.server, i.Outcome.NOT_CONNECTED))), i.Shed)
+    assert isinstance(
+        decisions.send((1.0, attempt_ended(first.server, i.Outcome.NOT_CONNECTED))), i.SendAttempt
+    )
+    tokens_before = balancer.retry_tokens
+    decisions = balancer.serve_request(build_request(2), 0.0)
+    first = next(decisions)
+    assert balancer.retry_tokens == tokens_before
+    assert isinstance(decisions.send((1.0, attempt_ended(first.server, i.Outcome.NOT_CONNECTED))), i.Shed)
     balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.GOING_BACK, cap=0.0), 5.0)
     assert balancer.exposure_cap(2)[0] == 0.0
 
 
-def fleet(fronts, machines, started=0.0, **changes):
-    """Fronts of one fleet, each with the same list, of which the last ``started`` machines are new."""
+def build_fleet(fronts, servers, started_at=0.0, **changes):
+    """Balancers of one fleet, all with the same list of servers."""
     settings = build_settings(balancers=fronts, load_column=0, **changes)
-    made = [Balancer(settings, seed, 0.0) for seed in range(fronts)]
-    for b in made:
-        b.update_stage(build_stage_update(), 0.0)
-        b.update_server_list(
-            i.ServerListUpdate(i.ListKind.WHOLE, [build_entry(n) for n in range(machines)]), 0.0
+    balancers = [Balancer(settings, seed, 0.0) for seed in range(fronts)]
+    for balancer in balancers:
+        balancer.update_stage(build_stage_update(), 0.0)
+        balancer.update_server_list(
+            i.ServerListUpdate(i.ListKind.WHOLE, [build_entry(n) for n in range(servers)]), 0.0
         )
-    return made
+    return balancers
 
 
-def test_a_small_front_takes_a_few_late_answers_for_no_lasting_jam():
-    b = fleet(200, 100)[0]
+def test_few_late_responses_do_not_block_a_small_front():
+    balancer = build_fleet(200, 100)[0]
     for n in range(3):
-        end(b, n, i.Outcome.TIMEOUT, n, took=900.0)
-    b.limit, b.open, b.mean_open = 6.0, 2, 2.0  # two tries out all along
+        end_attempt(balancer, n, i.Outcome.TIMEOUT, n, duration_ms=900.0)
+    # Two attempts in flight at all times.
+    balancer.in_flight_limit, balancer.in_flight, balancer.mean_in_flight = 6.0, 2, 2.0
     for _ in range(20):
-        b.adapt()
-    assert isinstance(next(b.serve_request(build_request(9), 0.0)), i.SendAttempt)
+        balancer.adapt_limit()
+    assert isinstance(next(balancer.serve_request(build_request(9), 0.0)), i.SendAttempt)
 
 
-def test_a_small_front_in_a_jam_is_bounded():
-    b = fleet(200, 100)[0]
+def test_small_front_under_overload_is_limited():
+    balancer = build_fleet(200, 100)[0]
     for n in range(60):
-        end(b, n, i.Outcome.TIMEOUT, n, took=900.0)
-        b.adapt()
-    assert b.limit <= b.by_chance(1.0)
+        end_attempt(balancer, n, i.Outcome.TIMEOUT, n, duration_ms=900.0)
+        balancer.adapt_limit()
+    assert balancer.in_flight_limit <= balancer.chance_bound(1.0)
 
 
 @pytest.mark.parametrize(("fronts", "per_s"), [(200, 0.35), (20, 3.5)])
-def test_a_tenant_within_its_share_is_not_over_it_by_chance(fronts, per_s):
+def test_tenant_within_its_share_does_not_exceed_it_by_chance(fronts, per_s):
     tenants = (i.Tenant(0.5, 0.5 * 200), i.Tenant(0.5, 0.5 * 200))
-    b = Balancer(build_settings(balancers=fronts, tenants=tenants, over_share_benefit=0.2), 7, 0.0)
-    chance, now, over = Random(3).expovariate, 0.0, 0
+    balancer = Balancer(build_settings(balancers=fronts, tenants=tenants, over_share_benefit=0.2), 7, 0.0)
+    draw_interval, now, over = Random(3).expovariate, 0.0, 0
     for n in range(400):
-        now += chance(per_s) * 1000
-        over += b.worthy(replace(build_request(n), tenant=0), now) < 0.2
+        now += draw_interval(per_s) * 1000
+        over += balancer.relative_benefit(replace(build_request(n), tenant=0), now) < 0.2
     assert over <= 40
 
 
-def test_a_front_with_five_times_its_part_of_the_traffic_has_as_much_of_the_quota():
+def test_front_with_five_times_its_share_of_traffic_gets_as_much_of_the_quota():
     tenants = (i.Tenant(1.0, 200.0),)
-    b = Balancer(build_settings(balancers=200, tenants=tenants, over_share_benefit=0.2), 7, 0.0)
+    balancer = Balancer(build_settings(balancers=200, tenants=tenants, over_share_benefit=0.2), 7, 0.0)
     over = 0
     for n in range(1000):  # five a second for 200 s
         now = 200.0 * n
-        b.arrivals += 1
+        balancer.new_requests += 1
         if n % 5 == 4:
-            b.learn_rate(now)
-        over += n > 500 and b.worthy(replace(build_request(n), tenant=0), now) < 0.2
+            balancer.update_rates(now)
+        over += n > 500 and balancer.relative_benefit(replace(build_request(n), tenant=0), now) < 0.2
     assert over == 0
 
 
-def test_a_machine_that_comes_back_cold_to_many_fronts_gets_its_part_and_no_more():
-    made, sent = fleet(200, 60, roll={"counts_interval_ms": 0.0}), []
-    for b in made:
-        b.rate = 0.03  # each front's part of a machine's work in a window: 60 ms of 200 a try
-        b.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(9, started=1000.0)]), 1000.0)
+def test_restarted_server_gets_its_share_from_many_fronts_and_no_more():
+    balancers, sent = build_fleet(200, 60, rollout={"counts_interval_ms": 0.0}), []
+    for balancer in balancers:
+        # Each front's share of a server in a window: 60 ms. An attempt takes 200.
+        balancer.completion_rate = 0.03
+        balancer.update_server_list(
+            i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(9, started_at=1000.0)]), 1000.0
+        )
     for tick in range(20):
-        for b in made:
-            now, rq = 1000.0 + 100 * tick + b.random(), build_request(tick)
-            m = b.best_server(False, rq, now, [])
-            b.sent(rq, m, 0, now)
-            if m.entry.server == 9:
+        for balancer in balancers:
+            now, request = 1000.0 + 100 * tick + balancer.random(), build_request(tick)
+            server = balancer.best_server(False, request, now, [])
+            balancer.register_attempt(request, server, 0, now)
+            if server.entry.server == 9:
                 sent.append(now)
-                m.in_flight.clear()
-    cost, warm = made[0].usual[0], 0.3 + 0.7 / 4  # the mean over the window
-    part = warm * 200 * 0.03 * 2000 / cost
-    assert 0.6 * part < len(sent) < 1.6 * part
+                server.in_flight.clear()
+    cost, warm = balancers[0].mean_latency_ms[0], 0.3 + 0.7 / 4  # the mean over the window
+    expected_count = warm * 200 * 0.03 * 2000 / cost
+    assert 0.6 * expected_count < len(sent) < 1.6 * expected_count
 
 
-@pytest.mark.parametrize(("price", "shakes"), [(0.0, 400), (0.08, 300)])
-def test_a_front_with_few_reqs_keeps_to_connections_it_has_where_new_ones_are_priced(price, shakes):
-    b, new = fleet(200, 100, handshake_cost=price, idle_timeout_ms=15_000.0)[0], 0
+@pytest.mark.parametrize(("handshake_cost", "most_new"), [(0.0, 400), (0.08, 300)])
+def test_front_with_few_requests_reuses_connections_where_new_ones_are_priced(handshake_cost, most_new):
+    balancer, new = build_fleet(200, 100, handshake_cost=handshake_cost, idle_timeout_ms=15_000.0)[0], 0
     for n in range(600):  # four a second
-        now, rq = 250.0 * n, build_request(n, ends_at=1e9)
-        m = b.best_server(False, rq, now, [])
-        new += now - m.took > 13_000.0
-        b.sent(rq, m, 0, now)
-        b.record_outcome(
-            n, i.AttemptEnded(m.entry.server, 0, i.Outcome.COMPLETED, 200.0, None, True), now + 200.0
+        now, request = 250.0 * n, build_request(n, deadline=1e9)
+        server = balancer.best_server(False, request, now, [])
+        new += now - server.accepted_at > 13_000.0
+        balancer.register_attempt(request, server, 0, now)
+        balancer.record_outcome(
+            n, i.AttemptEnded(server.entry.server, 0, i.Outcome.COMPLETED, 200.0, None, True), now + 200.0
         )
-    assert new <= shakes and (price or new > 300)
+    assert new <= most_new and (handshake_cost or new > 300)
 
 
-def test_a_word_back_does_not_wait_for_its_turn():
-    b = fleet(200, 20)[0]
-    assert b.cast(i.Vote(2, i.Verdict.ON, 0), 1000.0)
-    assert not b.cast(i.Vote(2, i.Verdict.ON, 1), 2000.0)  # ten a second from all of 200
-    assert b.cast(i.Vote(2, i.Verdict.BACK, 1), 2000.0)
-    b.update_stage(build_stage_update(end=i.Outcome.FULL, answers=True), 2100.0)
-    assert not b.cast(i.Vote(2, i.Verdict.BACK, 1), 2200.0) and b.cast(i.Vote(2, i.Verdict.BACK, 1), 3700.0)
+def test_vote_to_roll_back_does_not_wait_for_its_turn():
+    balancer = build_fleet(200, 20)[0]
+    assert balancer.cast_vote(i.Vote(2, i.Verdict.ON, 0), 1000.0)
+    assert not balancer.cast_vote(i.Vote(2, i.Verdict.ON, 1), 2000.0)  # ten a second from all of 200
+    assert balancer.cast_vote(i.Vote(2, i.Verdict.BACK, 1), 2000.0)
+    balancer.update_stage(build_stage_update(outcome=i.Outcome.FULL, answers_vote=True), 2100.0)
+    assert not balancer.cast_vote(i.Vote(2, i.Verdict.BACK, 1), 2200.0) and balancer.cast_vote(
+        i.Vote(2, i.Verdict.BACK, 1), 3700.0
+    )
