--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,6 @@
-"""Following the fleet: pauses, streams, whose word holds; small state spaces are walked whole."""
+"""Membership: call backoff, streams, the server list, its lease and the start clock.
+
+Small state spaces are explored exhaustively."""
 
 import copy
 from random import Random
@@ -14,276 +16,323 @@
 from myrtleroad.membership.start_clock import StartClock
 from myrtleroad.membership.stream_follower import CloseStream, FreshnessChanged, OpenStream, StreamFollower
 
-MANNER = FollowerSettings(
+SETTINGS = FollowerSettings(
     front_count=3, drain_grace_ms=250.0, heartbeat_interval_ms=2000.0, max_poll_interval_ms=10000.0
 )
 
 
-def following(chance=lambda: 0.5):
-    f = StreamFollower(MANNER, chance, 0.0)
-    assert f.start(0.0) == [OpenStream(0)] and f.start(0.0) == []
-    return f
+def started_follower(random=lambda: 0.5):
+    follower = StreamFollower(SETTINGS, random, 0.0)
+    assert follower.start(0.0) == [OpenStream(0)] and follower.start(0.0) == []
+    return follower
 
 
-def fresh(now=10.0):
-    f = following()
-    assert f.message_received(0, now) == [FreshnessChanged(ListFreshness.FRESH, now, "told")]
-    return f
+def fresh_follower(now=10.0):
+    follower = started_follower()
+    assert follower.message_received(0, now) == [FreshnessChanged(ListFreshness.FRESH, now, "told")]
+    return follower
 
 
-# --- how soon to ask ---
+# --- call backoff ---
 
 
 @pytest.mark.parametrize("fronts", [1, 3, 20, 200, 1000])
-def test_after_a_stream_that_stood_the_window_is_never_spent_on_waiting(fronts):
-    a = CallBackoff(FollowerSettings(fronts, 250.0, 2000.0), lambda: 0.999)
-    assert a.next_pause_ms(5000.0) <= 250.0 / 4
+def test_pause_after_a_stable_stream_uses_at_most_a_quarter_of_the_drain_grace(fronts):
+    backoff = CallBackoff(FollowerSettings(fronts, 250.0, 2000.0), lambda: 0.999)
+    assert backoff.next_pause_ms(5000.0) <= 250.0 / 4
 
 
 @pytest.mark.parametrize("fronts", [1, 20, 200])
-def test_while_a_service_fails_all_fronts_together_do_not_press_on_it(fronts):
-    random, asks = Random(5).random, 0
+def test_all_fronts_together_stay_near_the_target_call_rate_while_a_service_fails(fronts):
+    random, calls = Random(5).random, 0
     for _ in range(fronts):
-        a, at = CallBackoff(FollowerSettings(fronts, 250.0, 2000.0, 60000.0), random), 0.0
-        while (at := at + a.next_pause_ms(None)) < 60000.0:
-            asks += at > 20000.0
-    assert asks / 40 < 1.3 * a.MAX_CALLS_PER_S
+        backoff, now = CallBackoff(FollowerSettings(fronts, 250.0, 2000.0, 60000.0), random), 0.0
+        while (now := now + backoff.next_pause_ms(None)) < 60000.0:
+            calls += now > 20000.0
+    assert calls / 40 < 1.3 * backoff.MAX_CALLS_PER_S
 
 
-def test_a_stream_that_tells_and_drops_at_once_counts_as_one_that_fails():
-    a = CallBackoff(MANNER, lambda: 0.999)
-    assert [round(a.next_pause_ms(1.0)) for _ in range(4)] == [125, 250, 500, 500] and a.next_pause_ms(
-        2000.0
-    ) < 10.0
-    assert a.failures == 0
+def test_a_stream_that_delivers_data_and_ends_at_once_counts_as_failed():
+    backoff = CallBackoff(SETTINGS, lambda: 0.999)
+    assert [round(backoff.next_pause_ms(1.0)) for _ in range(4)] == [
+        125,
+        250,
+        500,
+        500,
+    ] and backoff.next_pause_ms(2000.0) < 10.0
+    assert backoff.failures == 0
 
 
-def test_a_long_failure_never_pauses_for_longer_than_the_settings_let_a_front_not_ask():
-    a = CallBackoff(FollowerSettings(1000, 250.0, 2000.0, 3000.0), lambda: 0.999)
-    assert max(a.next_pause_ms(None) for _ in range(50)) <= 3000.0
+def test_pause_never_exceeds_the_longest_call_interval_of_the_settings():
+    backoff = CallBackoff(FollowerSettings(1000, 250.0, 2000.0, 3000.0), lambda: 0.999)
+    assert max(backoff.next_pause_ms(None) for _ in range(50)) <= 3000.0
 
 
 # --- streams ---
 
 
-def test_a_reset_is_asked_again_at_once_and_a_move_meanwhile_does_not_wait():
-    f = fresh()
-    assert f.stream_ended(0, 5000.0, "reset") == [FreshnessChanged(ListFreshness.BLIND, 10.0, "reset")]
-    assert 5000.0 <= f.due() <= 5010.0
-    assert f.address_changed(5000.5) == [OpenStream(1)] and f.source == 1
-    assert f.tick(5004.0) == []  # the pause that the reset began is void
-    assert f.message_received(1, 5006.0) == [FreshnessChanged(ListFreshness.FRESH, 5006.0, "told")]
+def test_a_reset_stream_is_reopened_at_once_and_an_address_change_skips_the_pause():
+    follower = fresh_follower()
+    assert follower.stream_ended(0, 5000.0, "reset") == [FreshnessChanged(ListFreshness.BLIND, 10.0, "reset")]
+    assert 5000.0 <= follower.due() <= 5010.0
+    assert follower.address_changed(5000.5) == [OpenStream(1)] and follower.source == 1
+    assert follower.tick(5004.0) == []  # the pause after the reset is cancelled
+    assert follower.message_received(1, 5006.0) == [FreshnessChanged(ListFreshness.FRESH, 5006.0, "told")]
 
 
-def test_a_service_that_refuses_for_two_seconds_is_asked_some_times_and_then_had():
-    f, now, asks = fresh(), 5000.0, 0
-    f.stream_ended(0, now, "reset")
+def test_a_service_that_refuses_for_two_seconds_is_called_a_few_times_and_soon_again():
+    follower, now, calls = fresh_follower(), 5000.0, 0
+    follower.stream_ended(0, now, "reset")
     while now < 7000.0:
-        now = f.due()
-        for act in f.tick(now):
-            if isinstance(act, OpenStream):
-                asks += 1
-                f.stream_ended(act.stream, now, "refused")
-    assert 5 <= asks <= 20 and f.due() - now <= 500.0
-
-
-def test_a_silent_stream_gets_another_beside_it_and_both_are_read():
-    f = fresh()
-    assert f.due() == 10.0 + 1.3 * 2000.0
-    assert f.tick(f.due()) == [FreshnessChanged(ListFreshness.DOUBTFUL, 10.0, "silent"), OpenStream(1)]
-    assert f.tick(f.due() - 1) == []
-    assert f.message_received(1, 2700.0) == [
+        now = follower.due()
+        for action in follower.tick(now):
+            if isinstance(action, OpenStream):
+                calls += 1
+                follower.stream_ended(action.stream, now, "refused")
+    assert 5 <= calls <= 20 and follower.due() - now <= 500.0
+
+
+def test_a_second_stream_is_opened_beside_a_silent_one_and_both_are_read():
+    follower = fresh_follower()
+    assert follower.due() == 10.0 + 1.3 * 2000.0
+    assert follower.tick(follower.due()) == [
+        FreshnessChanged(ListFreshness.DOUBTFUL, 10.0, "silent"),
+        OpenStream(1),
+    ]
+    assert follower.tick(follower.due() - 1) == []
+    assert follower.message_received(1, 2700.0) == [
         CloseStream(0, "another one tells"),
         FreshnessChanged(ListFreshness.FRESH, 2700.0, "told"),
     ]
 
 
-def test_one_beside_that_fails_is_paced_and_the_old_may_speak_again():
-    f = fresh()
-    f.tick(f.due())
-    assert f.stream_ended(1, 2650.0, "refused") == [] and f.next_open_at is not None and f.due() > 2650.0
+def test_a_failed_second_stream_is_retried_after_a_pause_unless_the_first_recovers():
+    follower = fresh_follower()
+    follower.tick(follower.due())
+    assert (
+        follower.stream_ended(1, 2650.0, "refused") == []
+        and follower.next_open_at is not None
+        and follower.due() > 2650.0
+    )
+    assert (
+        follower.bytes_received(0, 2660.0) == [FreshnessChanged(ListFreshness.FRESH, 2660.0, "heard again")]
+        and follower.next_open_at is None
+    )
+
+
+def test_a_stream_that_misses_two_heartbeats_is_closed():
+    follower = fresh_follower()
+    follower.tick(follower.due())
+    follower.stream_ended(1, 2650.0, "refused")
+    actions = []
+    while not any(isinstance(action, CloseStream) for action in actions):
+        actions = follower.tick(follower.due())
+        for action in actions:
+            if isinstance(action, OpenStream):
+                follower.stream_ended(action.stream, follower.due(), "refused")
     assert (
-        f.bytes_received(0, 2660.0) == [FreshnessChanged(ListFreshness.FRESH, 2660.0, "heard again")]
-        and f.next_open_at is None
+        actions[0] == CloseStream(0, "silent")
+        and follower.freshness == ListFreshness.BLIND
+        and follower.due() < 4600.0
     )
 
 
-def test_a_stream_silent_for_two_signs_is_given_up():
-    f = fresh()
-    f.tick(f.due())
-    f.stream_ended(1, 2650.0, "refused")
-    acts = []
-    while not any(isinstance(a, CloseStream) for a in acts):
-        acts = f.tick(f.due())
-        for act in acts:
-            if isinstance(act, OpenStream):
-                f.stream_ended(act.stream, f.due(), "refused")
-    assert acts[0] == CloseStream(0, "silent") and f.freshness == ListFreshness.BLIND and f.due() < 4600.0
-
-
-def test_one_that_connects_and_says_nothing_is_given_up_and_asked_again():
-    f = following()
-    assert f.tick(f.due()) == [CloseStream(0, "silent")] and f.due() < 3000.0
-
-
-def test_a_left_source_is_read_until_the_new_one_tells_and_not_for_ever():
-    f = fresh()
-    assert f.address_changed(1000.0) == [OpenStream(1)]
-    assert f.address_changed(1100.0) == [
-        CloseStream(1, "left"),
-        OpenStream(2),
-    ]  # of a row of moves only what told is read
-    f.bytes_received(0, 6000.0)
-    f.bytes_received(2, 1200.0)  # it speaks, and what it tells is behind
-    f.bytes_received(2, 6000.0)
-    assert CloseStream(0, "silent") in f.tick(1100.0 + f.OLD_SOURCE_READ_MS)
-
-
-def walk(f, now, depth, seen):
-    """Every order of a few events, to a depth; the invariants hold after each."""
-    check(f, now)
+def test_a_stream_without_a_first_message_is_closed_and_reopened():
+    follower = started_follower()
+    assert follower.tick(follower.due()) == [CloseStream(0, "silent")] and follower.due() < 3000.0
+
+
+def test_a_previous_source_is_read_for_a_bounded_time_after_the_new_one_has_sent_bytes():
+    follower = fresh_follower()
+    assert follower.address_changed(1000.0) == [OpenStream(1)]
+    # After several changes of address, only the stream that has delivered a message is kept.
+    assert follower.address_changed(1100.0) == [CloseStream(1, "left"), OpenStream(2)]
+    follower.bytes_received(0, 6000.0)
+    follower.bytes_received(2, 1200.0)  # the new source sends bytes, but its list is behind
+    follower.bytes_received(2, 6000.0)
+    assert CloseStream(0, "silent") in follower.tick(1100.0 + follower.OLD_SOURCE_READ_MS)
+
+
+def explore(follower, now, depth, opened):
+    """Applies every sequence of a few events up to the depth and checks the invariants after each event."""
+    check_invariants(follower, now)
     if depth == 0:
         return
     events = [("address_changed",), ("tick",), ("wait",)]
     events += [
-        (name, n) for n in f.streams for name in ("bytes_received", "message_received", "stream_ended")
+        (name, number)
+        for number in follower.streams
+        for name in ("bytes_received", "message_received", "stream_ended")
     ]
     for event in events:
-        g, at = copy.deepcopy(f), now + 1.0
+        successor, at = copy.deepcopy(follower), now + 1.0
         if event == ("tick",):
-            at = max(at, g.due())
-            acts = g.tick(at)
+            at = max(at, successor.due())
+            actions = successor.tick(at)
         elif event == ("wait",):
             at += 2700.0
-            acts = g.tick(at)
+            actions = successor.tick(at)
         elif event == ("address_changed",):
-            acts = g.address_changed(at)
+            actions = successor.address_changed(at)
         elif event[0] == "stream_ended":
-            acts = g.stream_ended(event[1], at, "reset")
+            actions = successor.stream_ended(event[1], at, "reset")
         else:
-            acts = getattr(g, event[0])(event[1], at)
-        for act in acts:
-            if isinstance(act, OpenStream):
-                assert act.stream not in seen  # a number is never used twice
-            if isinstance(act, CloseStream):
-                assert act.stream not in g.streams
-        walk(g, at, depth - 1, seen | {a.stream for a in acts if isinstance(a, OpenStream)})
+            actions = getattr(successor, event[0])(event[1], at)
+        for action in actions:
+            if isinstance(action, OpenStream):
+                assert action.stream not in opened  # a number is never used twice
+            if isinstance(action, CloseStream):
+                assert action.stream not in successor.streams
+        explore(
+            successor,
+            at,
+            depth - 1,
+            opened | {action.stream for action in actions if isinstance(action, OpenStream)},
+        )
 
 
-def check(f, now):
-    mine = [s for s in f.streams.values() if s.source == f.source]
-    assert mine or f.next_open_at is not None, "nobody is asked and nobody will be"
-    assert len(f.streams) <= 4 and f.due() < float("inf")
-    telling = [s for s in f.streams.values() if s.first_message_at is not None]
-    assert (f.freshness == ListFreshness.BLIND) == (not telling)
-    assert f.age_ms(now) >= 0.0
+def check_invariants(follower, now):
+    current = [state for state in follower.streams.values() if state.source == follower.source]
+    assert current or follower.next_open_at is not None, "no stream is open and none is scheduled"
+    assert len(follower.streams) <= 4 and follower.due() < float("inf")
+    established = [state for state in follower.streams.values() if state.first_message_at is not None]
+    assert (follower.freshness == ListFreshness.BLIND) == (not established)
+    assert follower.age_ms(now) >= 0.0
 
 
-def test_no_order_of_events_leaves_a_follower_that_nobody_tells():
-    f = StreamFollower(MANNER, fixed, 0.0)
-    f.start(0.0)
-    walk(f, 0.0, 5, {0})
+def test_after_any_sequence_of_events_a_stream_is_open_or_scheduled():
+    follower = StreamFollower(SETTINGS, fixed_random, 0.0)
+    follower.start(0.0)
+    explore(follower, 0.0, 5, {0})
 
 
-def fixed():
+def fixed_random():
     return 0.5
 
 
-# --- whose word holds ---
+# --- the server list ---
 
 
-def entry(rank, start=0):
-    return (rank, start)
+def make_entry(restriction, start=0):
+    return (restriction, start)
 
 
-def book(**known):
-    b = ServerList(lambda e: e[0], lambda a, b: a[1] == b[1])
-    b.load_initial(7, {w: entry(Restriction.NONE) for w in known})
-    return b
+def initial_list(**known):
+    servers = ServerList(lambda entry: entry[0], lambda a, b: a[1] == b[1])
+    servers.load_initial(7, {server_id: make_entry(Restriction.NONE) for server_id in known})
+    return servers
 
 
-OPEN, CLOSING, AWAY = entry(Restriction.NONE), entry(Restriction.DRAINING), entry(Restriction.GONE)
+OPEN, DRAINING, GONE = (
+    make_entry(Restriction.NONE),
+    make_entry(Restriction.DRAINING),
+    make_entry(Restriction.GONE),
+)
 
 
-def test_an_older_list_of_another_source_may_close_and_never_open():
-    b = book(a=1, b=1)
-    b.apply_message(ListMessage(0, 9, False, {"a": CLOSING}), True)
-    change = b.apply_message(ListMessage(1, 8, True, {"a": OPEN, "b": CLOSING, "c": OPEN}), False)
-    assert change.entries == {"b": CLOSING} and not change.whole and b.version == 9
-    assert b.source_ended(0).entries == {"a": OPEN, "b": CLOSING, "c": OPEN}  # alone, it has its word
-    assert b.source == 1 and b.source_ended(0) is None
+def test_an_older_list_of_another_source_may_restrict_servers_and_never_opens_them():
+    servers = initial_list(a=1, b=1)
+    servers.apply_message(ListMessage(0, 9, False, {"a": DRAINING}), True)
+    change = servers.apply_message(ListMessage(1, 8, True, {"a": OPEN, "b": DRAINING, "c": OPEN}), False)
+    assert change.entries == {"b": DRAINING} and not change.whole and servers.version == 9
+    # Once it is the only source, its whole list applies.
+    assert servers.source_ended(0).entries == {"a": OPEN, "b": DRAINING, "c": OPEN}
+    assert servers.source == 1 and servers.source_ended(0) is None
 
 
-def test_what_a_source_behind_tells_in_pieces_holds_together_once_it_stands_alone():
-    b = book(a=1)
-    assert b.apply_message(ListMessage(1, 5, True, {"a": OPEN, "b": OPEN}), False) is None
-    assert b.apply_message(ListMessage(1, 6, False, {"b": AWAY, "c": OPEN}), False) is None
-    assert b.source_ended(0).entries == {"a": OPEN, "c": OPEN}
+def test_changes_of_a_source_that_is_behind_are_merged_until_it_is_the_only_one():
+    servers = initial_list(a=1)
+    assert servers.apply_message(ListMessage(1, 5, True, {"a": OPEN, "b": OPEN}), False) is None
+    assert servers.apply_message(ListMessage(1, 6, False, {"b": GONE, "c": OPEN}), False) is None
+    assert servers.source_ended(0).entries == {"a": OPEN, "c": OPEN}
 
 
-def test_numbers_that_go_back_without_a_whole_list_close_at_most_and_ask_for_one():
-    b = book(a=1, b=1)
-    change = b.apply_message(ListMessage(0, 3, False, {"a": CLOSING, "c": OPEN}), True)
+def test_changes_with_a_lower_version_only_restrict_and_request_the_whole_list():
+    servers = initial_list(a=1, b=1)
+    change = servers.apply_message(ListMessage(0, 3, False, {"a": DRAINING, "c": OPEN}), True)
     assert (
-        change.entries == {"a": CLOSING} and change.refetch_reason == "numbers went back" and b.version == 3
+        change.entries == {"a": DRAINING}
+        and change.refetch_reason == "numbers went back"
+        and servers.version == 3
     )
-    assert b.apply_fetched(ListMessage(0, 2, True, {})).refetch_reason  # made before the last change
-    assert b.apply_fetched(ListMessage(0, 3, True, {"c": OPEN})).entries == {"c": OPEN}
-    assert b.apply_fetched(ListMessage(1, 9, True, {})) is None  # of another source
+    assert servers.apply_fetched(ListMessage(0, 2, True, {})).refetch_reason  # made before the last change
+    assert servers.apply_fetched(ListMessage(0, 3, True, {"c": OPEN})).entries == {"c": OPEN}
+    assert servers.apply_fetched(ListMessage(1, 9, True, {})) is None  # of another source
 
 
-def test_a_gap_is_seen_where_numbers_are_consecutive():
-    b = book(a=1)
-    b.consecutive_versions = True
-    assert not b.apply_message(ListMessage(0, 8, False, {}), True).refetch_reason
-    assert b.apply_message(ListMessage(0, 10, False, {"a": CLOSING}), True).refetch_reason == "a gap"
+def test_a_version_gap_requests_the_whole_list_if_versions_are_consecutive():
+    servers = initial_list(a=1)
+    servers.consecutive_versions = True
+    assert not servers.apply_message(ListMessage(0, 8, False, {}), True).refetch_reason
+    assert servers.apply_message(ListMessage(0, 10, False, {"a": DRAINING}), True).refetch_reason == "a gap"
 
 
-def test_an_unclear_entry_shuts_its_machine_until_a_list_says_more():
-    b = book(a=1, b=1)
-    change = b.apply_message(ListMessage(0, 8, False, {}, ["a", None]), True)
+def test_an_unreadable_entry_blocks_its_server_until_a_readable_one_arrives():
+    servers = initial_list(a=1, b=1)
+    change = servers.apply_message(ListMessage(0, 8, False, {}, ["a", None]), True)
     assert change.blocked == ["a"] and change.refetch_reason == "unclear entries"
-    whole = b.apply_message(ListMessage(0, 9, True, {"b": OPEN}, ["a"]), True)
-    assert set(whole.entries) == {"a", "b"} and whole.blocked == ["a"]  # unread is not gone
-    assert b.apply_message(ListMessage(0, 10, False, {"a": OPEN}), True).blocked == [] and not b.blocked
+    whole = servers.apply_message(ListMessage(0, 9, True, {"b": OPEN}, ["a"]), True)
+    assert set(whole.entries) == {"a", "b"} and whole.blocked == ["a"]  # an unreadable entry isn't a removal
+    assert (
+        servers.apply_message(ListMessage(0, 10, False, {"a": OPEN}), True).blocked == []
+        and not servers.blocked
+    )
 
 
-class Fleet:
-    """A truth that only goes forward: machines open, close, go, and return as another start."""
+class FleetHistory:
+    """The true history of the fleet: servers open, drain, go, and return as another start."""
 
     def __init__(self):
-        self.history = [(1, {"a": OPEN, "b": OPEN})]
+        self.changes = [(1, {"a": OPEN, "b": OPEN})]
 
-    def at(self, version):
+    def state_at(self, version):
         state = {}
-        for v, change in self.history:
-            if v <= version:
+        for changed_version, change in self.changes:
+            if changed_version <= version:
                 state |= change
-        return {w: e for w, e in state.items() if e[0] != Restriction.GONE}
-
-    def change(self, word):
-        version, now = len(self.history) + 1, self.at(len(self.history))
-        last = max((e[1] for _, c in self.history for w, e in c.items() if w == word), default=0)
-        after = {None: entry(Restriction.NONE, last + 1), Restriction.NONE: entry(Restriction.DRAINING, last)}
-        state = now[word][0] if word in now else None
-        self.history.append((version, {word: after.get(state, entry(Restriction.GONE, last))}))
+        return {server_id: entry for server_id, entry in state.items() if entry[0] != Restriction.GONE}
+
+    def advance(self, server_id):
+        version, now = len(self.changes) + 1, self.state_at(len(self.changes))
+        last_start = max(
+            (
+                entry[1]
+                for _, change in self.changes
+                for changed_id, entry in change.items()
+                if changed_id == server_id
+            ),
+            default=0,
+        )
+        successors = {
+            None: make_entry(Restriction.NONE, last_start + 1),
+            Restriction.NONE: make_entry(Restriction.DRAINING, last_start),
+        }
+        restriction = now[server_id][0] if server_id in now else None
+        self.changes.append(
+            (version, {server_id: successors.get(restriction, make_entry(Restriction.GONE, last_start))})
+        )
 
-    def said(self, source, after, upto, whole):
+    def message(self, source, after, up_to, whole):
         if whole:
-            return ListMessage(source, upto, True, self.at(upto))
+            return ListMessage(source, up_to, True, self.state_at(up_to))
         entries = {}
-        for v, change in self.history:
-            if after < v <= upto:
+        for version, change in self.changes:
+            if after < version <= up_to:
                 entries |= change
-        return ListMessage(source, upto, False, entries)
+        return ListMessage(source, up_to, False, entries)
 
 
-def apply(view, change):
+def applied(view, change):
+    """A front's view of the fleet after the change."""
     if change is None:
         return view
     view = dict(change.entries) if change.whole else view | change.entries
-    view |= {w: entry(Restriction.DRAINING, view[w][1]) for w in change.blocked if w in view}
-    return {w: e for w, e in view.items() if e[0] != Restriction.GONE}
+    view |= {
+        server_id: make_entry(Restriction.DRAINING, view[server_id][1])
+        for server_id in change.blocked
+        if server_id in view
+    }
+    return {server_id: entry for server_id, entry in view.items() if entry[0] != Restriction.GONE}
 
 
 STEPS = st.lists(
@@ -299,37 +348,44 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(steps=STEPS)
-def test_two_sources_behind_each_other_never_open_what_was_closed_and_agree_at_the_end(steps):
-    fleet, b = Fleet(), book()
-    view = apply({}, b.apply_message(fleet.said(0, 0, 1, True), True))
-    b.version, told, old_stands = 1, {0: 1, 1: 0}, True
-    shut: set[tuple[str, int]] = set()
-    for what, word, whole, behind in steps:
-        head = len(fleet.history)
-        if what == "change":
-            fleet.change(word)
+def test_two_sources_that_lag_each_other_never_reopen_a_server_and_converge(steps):
+    fleet, servers = FleetHistory(), initial_list()
+    view = applied({}, servers.apply_message(fleet.message(0, 0, 1, True), True))
+    servers.version, sent, old_source_open = 1, {0: 1, 1: 0}, True
+    restricted: set[tuple[str, int]] = set()
+    for step, server_id, whole, lag in steps:
+        newest = len(fleet.changes)
+        if step == "change":
+            fleet.advance(server_id)
             continue
-        if what == "end":
-            if old_stands:
-                old_stands = False
-                view = apply(view, b.source_ended(0))
-                shut = set()  # the one that is left has its word, and it may be behind
+        if step == "end":
+            if old_source_open:
+                old_source_open = False
+                view = applied(view, servers.source_ended(0))
+                restricted = set()  # the remaining source applies as it is, and it may be behind
             continue
-        source = 1 if what == "new" else 0
-        if source == 0 and not (old_stands and b.source == 0):
+        source = 1 if step == "new" else 0
+        if source == 0 and not (old_source_open and servers.source == 0):
             continue
-        upto = max(told[source], head - behind)
-        whole = whole or told[source] == 0
-        said = fleet.said(source, told[source], upto, whole)
-        told[source] = upto
-        view = apply(view, b.apply_message(said, source == 1 and not old_stands))
-        shut |= {
-            (w, e[1]) for w, e in said.entries.items() if e[0] != Restriction.NONE and view.get(w, e) == e
+        up_to = max(sent[source], newest - lag)
+        whole = whole or sent[source] == 0
+        message = fleet.message(source, sent[source], up_to, whole)
+        sent[source] = up_to
+        view = applied(view, servers.apply_message(message, source == 1 and not old_source_open))
+        restricted |= {
+            (changed_id, entry[1])
+            for changed_id, entry in message.entries.items()
+            if entry[0] != Restriction.NONE and view.get(changed_id, entry) == entry
         }
-        assert not any(e[0] == Restriction.NONE and (w, e[1]) in shut for w, e in view.items())
-    view = apply(view, b.source_ended(0))
-    view = apply(view, b.apply_message(fleet.said(1, told[1], len(fleet.history), told[1] == 0), True))
-    assert view == fleet.at(len(fleet.history))
+        assert not any(
+            entry[0] == Restriction.NONE and (listed_id, entry[1]) in restricted
+            for listed_id, entry in view.items()
+        )
+    view = applied(view, servers.source_ended(0))
+    view = applied(
+        view, servers.apply_message(fleet.message(1, sent[1], len(fleet.changes), sent[1] == 0), True)
+    )
+    assert view == fleet.state_at(len(fleet.changes))
 
 
 # --- a shared service that is full ---
@@ -337,35 +393,34 @@
 SHARED = FollowerSettings(200, 250.0, 2000.0, 10000.0, ServiceKind.SHARED)
 
 
-def test_a_storm_of_calls_on_a_full_service_falls_under_one_call_a_front_in_eight_seconds():
-    random, asks, fronts = Random(5).random, 0, 200
+def test_calls_to_a_full_service_fall_below_one_call_a_front_in_eight_seconds():
+    random, calls, fronts = Random(5).random, 0, 200
     for _ in range(fronts):
-        a, at = CallBackoff(SHARED, random), 0.0
-        while (
-            at := at + a.next_pause_ms(None) + 2000.0
-        ) < 100000.0:  # a call waits for two seconds and fails
-            asks += at > 20000.0
-    assert asks / 80 <= fronts / 8
+        backoff, now = CallBackoff(SHARED, random), 0.0
+        # Each call waits for two seconds and fails.
+        while (now := now + backoff.next_pause_ms(None) + 2000.0) < 100000.0:
+            calls += now > 20000.0
+    assert calls / 80 <= fronts / 8
 
 
-def test_after_the_first_call_that_a_full_service_fails_half_a_wait_at_least_goes_by():
+def test_pause_after_the_first_failed_call_to_a_full_service_is_at_least_half_the_span():
     assert CallBackoff(SHARED, lambda: 0.0).next_pause_ms(None) == 1000.0
 
 
-def test_a_watch_broken_off_soon_or_a_connection_refused_is_no_sign_of_a_full_service():
-    a = CallBackoff(SHARED, lambda: 0.999)
-    assert a.next_pause_ms(10.0) < 550.0
-    a = CallBackoff(SHARED, lambda: 0.999)
-    assert a.next_pause_ms(None, connected=False) < 550.0
+def test_a_short_watch_or_a_refused_connection_does_not_count_as_a_full_service():
+    backoff = CallBackoff(SHARED, lambda: 0.999)
+    assert backoff.next_pause_ms(10.0) < 550.0
+    backoff = CallBackoff(SHARED, lambda: 0.999)
+    assert backoff.next_pause_ms(None, connected=False) < 550.0
 
 
 # --- the lease ---
 
-ASKED, PUSHED = LeaseTerms(6100.0, 6100.0, False), LeaseTerms(100.0, 6100.0, True)
+ON_REQUEST, PUSHED = LeaseTerms(6100.0, 6100.0, False), LeaseTerms(100.0, 6100.0, True)
 
 
-def test_a_watch_that_has_fallen_silent_is_believed_for_no_longer_than_its_changes_stay_untold():
-    for terms in (ASKED, PUSHED):
+def test_a_silent_watch_keeps_the_lease_only_until_its_changes_count_as_notified():
+    for terms in (ON_REQUEST, PUSHED):
         lease = ListLease(terms)
         lease.confirm(1000.0)
         assert lease.is_valid(7099.0) and not lease.is_valid(7101.0)
@@ -373,7 +428,7 @@
 
 def test_connections_made_after_a_watch_fell_silent_are_not_covered():
     for was_silent, covered in ((True, False), (False, True)):
-        lease = ListLease(ASKED)
+        lease = ListLease(ON_REQUEST)
         lease.confirm(1000.0)
         lease.stream_lost(4000.0, was_silent)
         assert (
@@ -383,59 +438,63 @@
         )
 
 
-def test_a_follower_tells_its_lease_what_stands_and_what_waits():
-    f = following()
-    f.lease = ListLease(PUSHED)
-    f.message_received(0, 10.0)
-    assert f.lease.has_stream and not f.lease.has_pending_call and f.lease.confirmed_at == 10.0
-    f.stream_ended(0, 900.0, "reset")
-    assert not f.lease.has_stream and f.lease.covered_until == 900.0
-    f.tick(f.due())
-    assert f.lease.has_pending_call and f.lease.is_valid(5000.0)
-
-
-def test_after_a_move_the_old_watch_is_believed_for_no_longer_than_four_seconds():
-    f = following()
-    f.lease = ListLease(LeaseTerms(6100.0, 6100.0, False, 100.0))
-    f.message_received(0, 10.0)
-    f.address_changed(1000.0)
-    f.address_changed(3000.0)  # a second one does not put it off
-    f.message_received(0, 5000.0)  # the old address goes on telling
-    assert f.lease.is_valid(5099.0) and not f.lease.is_valid(5101.0)
-    assert f.lease.allows_sending(5101.0, 5050.0) and not f.lease.allows_sending(5101.0, 4900.0)
-    f.message_received(max(f.streams), 5200.0)
-    assert f.lease.is_valid(5200.0)
-
-
-def test_a_front_begins_with_a_list_or_after_a_while_without():
-    lease = ListLease(ASKED)
+def test_a_follower_updates_its_lease_with_open_streams_and_pending_calls():
+    follower = started_follower()
+    follower.lease = ListLease(PUSHED)
+    follower.message_received(0, 10.0)
+    assert (
+        follower.lease.has_stream
+        and not follower.lease.has_pending_call
+        and follower.lease.confirmed_at == 10.0
+    )
+    follower.stream_ended(0, 900.0, "reset")
+    assert not follower.lease.has_stream and follower.lease.covered_until == 900.0
+    follower.tick(follower.due())
+    assert follower.lease.has_pending_call and follower.lease.is_valid(5000.0)
+
+
+def test_after_an_address_change_the_old_watch_keeps_the_lease_for_at_most_four_seconds():
+    follower = started_follower()
+    follower.lease = ListLease(LeaseTerms(6100.0, 6100.0, False, 100.0))
+    follower.message_received(0, 10.0)
+    follower.address_changed(1000.0)
+    follower.address_changed(3000.0)  # a second change does not extend the deadline
+    follower.message_received(0, 5000.0)  # the old address goes on sending
+    assert follower.lease.is_valid(5099.0) and not follower.lease.is_valid(5101.0)
+    assert follower.lease.allows_sending(5101.0, 5050.0) and not follower.lease.allows_sending(5101.0, 4900.0)
+    follower.message_received(max(follower.streams), 5200.0)
+    assert follower.lease.is_valid(5200.0)
+
+
+def test_a_front_starts_with_a_valid_list_or_without_one_after_a_while():
+    lease = ListLease(ON_REQUEST)
     assert not lease.may_start(4999.0, 0.0) and lease.may_start(5000.0, 0.0)
     lease.confirm(10.0)
     assert lease.may_start(10.0, 0.0)
 
 
-# --- starts, and a wall clock that is wrong ---
+# --- server starts with a wrong wall clock ---
 
 HOUR_MS = 3_600_000.0
 
 
-@pytest.mark.parametrize("wrong", [0.0, -HOUR_MS, HOUR_MS, 5000.0, -5000.0])
-def test_a_start_that_comes_on_a_watch_is_young_whatever_the_wall_clock_says(wrong):
-    clock, started = StartClock(), 1e12
-    told = started + 800.0 + wrong  # by the front's clock; news took 0.8 s
-    clock.observe(started, told, watched=True)
-    age = told + 1000.0 + clock.offset_ms() - started
-    assert 1000.0 <= age <= 1800.0
+@pytest.mark.parametrize("clock_error_ms", [0.0, -HOUR_MS, HOUR_MS, 5000.0, -5000.0])
+def test_a_start_received_on_a_watch_is_recent_whatever_the_wall_clock_shows(clock_error_ms):
+    clock, started_at = StartClock(), 1e12
+    received_at = started_at + 800.0 + clock_error_ms  # by the front's clock; delivery took 0.8 s
+    clock.observe(started_at, received_at, watched=True)
+    age_ms = received_at + 1000.0 + clock.offset_ms() - started_at
+    assert 1000.0 <= age_ms <= 1800.0
 
 
-def test_a_list_that_comes_late_once_does_not_make_older_starts_younger():
+def test_one_delayed_list_does_not_make_earlier_starts_appear_more_recent():
     clock = StartClock()
     clock.observe(1e12, 1e12 + 500.0, watched=True)
     clock.observe(1e12, 1e12 + 9000.0, watched=True)
     assert clock.offset_ms() == 0.0
 
 
-def test_starts_of_a_whole_list_say_only_that_the_clock_is_not_behind_them():
+def test_starts_of_a_whole_list_only_show_that_the_clock_is_not_behind_them():
     clock = StartClock()
     clock.observe(1e12, 1e12 + HOUR_MS, watched=False)
     assert clock.offset_ms() == 0.0
