--- a/myrtleroad/membership/call_backoff.py
+++ b/myrtleroad/membership/call_backoff.py
@@ -1,7 +1,8 @@
-"""How soon to ask a service again: at once after a stream that stood, more and more rarely while it fails.
+"""Pauses between calls to a streaming service: short after a stable stream, growing while the service fails.
 
-A service that is shared and full answers no call in time as long as calls come faster than it works them off,
-those that nobody waits for any more included: callers that ask again soon keep it so for good."""
+A shared service that is full answers no call in time for as long as calls arrive faster than it can process
+them; abandoned calls still take up its capacity. Callers that retry too soon keep it in that state
+indefinitely."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,20 +10,19 @@
 
 
 class ServiceKind(Enum):
-    """Whose the service is that a stream comes from."""
+    """Which callers the service behind a stream has to serve."""
 
-    OWN = "own"  # an agent of this front's own, or one that takes calls from all at once
+    OWN = "own"  # an agent that serves only this front, or a service that accepts all fronts' calls at once
     SHARED = "shared"  # one queue of fixed capacity for the calls of all fronts
 
 
 @dataclass(slots=True, frozen=True)
 class FollowerSettings:
-    """How a stream is followed; all figures in ms but ``front_count``.
+    """How a stream is followed. Durations are in ms.
 
-    ``drain_grace_ms``: how long after a change was told a front may still act on the list before it.
-    ``heartbeat_interval_ms``: how often the other side says something, be it a sign of life alone.
-    ``max_poll_interval_ms``: the longest that the settings let a front go without asking; inf where
-    they do not say."""
+    ``drain_grace_ms``: how long a front may still act on the previous list after a change was announced.
+    ``heartbeat_interval_ms``: the peer sends at least a heartbeat this often.
+    ``max_poll_interval_ms``: the longest time the settings allow between calls; inf if they set no limit."""
 
     front_count: int
     drain_grace_ms: float
@@ -32,49 +32,60 @@
 
 
 class CallBackoff:
-    """The pauses of one follower. ``chance`` draws from [0, 1).
-
-    Full jitter over a growing span, after "Exponential Backoff and Jitter" (AWS Architecture Blog, 2015)."""
-
-    SPREAD_MS = 2.0  # a front, over which the first asks after a stream that stood are spread: 500 a second
-    PART = 0.25  # of the grace at most goes by before the first ask; the rest is for the answer
-    BASE_MS = 100.0  # span of the pause after the first failure: some answers' time
-    FULL_MS = 500.0  # the longest span of a small deployment: two graces of the shortest kind known
-    MAX_CALLS_PER_S = (
-        200.0  # asks a second from all fronts together while a service fails: 40 left 200 fronts
-    )
-    # blind for 3 s after it was back, this for 1 s, as long as one fixed pause of 1 s (benchmarks/membership)
-    SHARED_FIRST_MS = 2000.0  # as long as a call may wait in the queue of a shared service
-    SHARED_MOST_MS = 16000.0  # twice the time in which a shared service can take a call from every front
-    STEADY_MS = 1000.0  # a stream that told something and stood for less has failed all the same
-
-    __slots__ = ("base", "chance", "failures", "longest", "manner", "spread")
-
-    def __init__(self, manner: FollowerSettings, chance: Callable[[], float]):
-        self.manner, self.chance = manner, chance
-        self.failures = 0  # since a stream last stood
-        self.spread = min(self.PART * manner.drain_grace_ms, self.SPREAD_MS * manner.front_count)
-        even = 2 * 1000.0 * manner.front_count / self.MAX_CALLS_PER_S  # a span's mean pause is half of it
-        self.longest = min(max(self.FULL_MS, even), manner.max_poll_interval_ms)
-        self.base = max(self.BASE_MS, self.longest / 4)  # many fronts fail at once: not all again at once
-
-    def next_pause_ms(self, stood_ms: float | None, connected: bool = True) -> float:
-        """How long to wait, in ms, now that a stream has ended; ``stood_ms`` is how long it stood after it
-        had told something, None where it told nothing; ``connected``: a connection for it came up."""
-        if stood_ms is not None and stood_ms >= self.STEADY_MS:
+    """Computes the pauses of one follower. ``random`` draws uniformly from [0, 1).
+
+    Full jitter over an exponentially growing span, after "Exponential Backoff and Jitter" (AWS Architecture
+    Blog, 2015)."""
+
+    SPREAD_PER_FRONT_MS = 2.0  # spreads the fronts' first calls after stable streams to 500 calls a second
+    MAX_SPREAD_SHARE = 0.25  # of the drain grace; the rest is left for the response to arrive
+    MIN_BASE_SPAN_MS = 100.0  # span of the pause after the first failure: several response times
+    MIN_LONGEST_SPAN_MS = 500.0  # longest span of a small deployment: twice the shortest known drain grace
+    # Target rate of all fronts together while a service fails. 40 a second left 200 fronts blind for 3 s
+    # after the service had recovered; 200 a second does for 1 s, as long as a fixed pause of 1 s
+    # (benchmarks/membership).
+    MAX_CALLS_PER_S = 200.0
+    SHARED_BASE_SPAN_MS = 2000.0  # as long as a call may wait in the queue of a shared service
+    SHARED_LONGEST_SPAN_MS = 16000.0  # twice the time a shared service needs to take a call from every front
+    STABLE_STREAM_MS = 1000.0  # a stream that delivered data but lasted less than this counts as failed
+
+    __slots__ = ("base_span_ms", "failures", "longest_span_ms", "random", "settings", "spread_ms")
+
+    def __init__(self, settings: FollowerSettings, random: Callable[[], float]):
+        self.settings, self.random = settings, random
+        self.failures = 0  # since the last stable stream
+        self.spread_ms = min(
+            self.MAX_SPREAD_SHARE * settings.drain_grace_ms, self.SPREAD_PER_FRONT_MS * settings.front_count
+        )
+        # The mean pause is half the span, so this span keeps all fronts together at the target rate.
+        rate_limited_span_ms = 2 * 1000.0 * settings.front_count / self.MAX_CALLS_PER_S
+        self.longest_span_ms = min(
+            max(self.MIN_LONGEST_SPAN_MS, rate_limited_span_ms), settings.max_poll_interval_ms
+        )
+        # Many fronts fail at the same moment; with more fronts the first span grows, so that they do not all
+        # retry at once.
+        self.base_span_ms = max(self.MIN_BASE_SPAN_MS, self.longest_span_ms / 4)
+
+    def next_pause_ms(self, lasted_ms: float | None, connected: bool = True) -> float:
+        """The pause before the next call, in ms, after a stream has ended.
+
+        ``lasted_ms``: how long the stream stayed open after its first message, None if it delivered none.
+        ``connected``: whether its connection was established."""
+        if lasted_ms is not None and lasted_ms >= self.STABLE_STREAM_MS:
             self.failures = 0
-            return self.chance() * self.spread
+            return self.random() * self.spread_ms
         self.failures += 1
-        if stood_ms is None and connected and self.manner.service_kind is ServiceKind.SHARED:
-            return self.shared_pause()
-        # A service that takes every call and drops it at once counts as one that fails.
-        return self.chance() * self.span(self.base, self.longest)
-
-    def shared_pause(self) -> float:
-        """After a call that a shared service took and did not answer. Never under half of the span, so that
-        the load on it falls for certain."""
-        most = min(self.SHARED_MOST_MS, self.manner.max_poll_interval_ms)
-        return self.span(self.SHARED_FIRST_MS, most) * (0.5 + 0.5 * self.chance())
-
-    def span(self, first: float, most: float) -> float:
-        return min(most, first * 2.0 ** min(self.failures - 1, 16))
+        if lasted_ms is None and connected and self.settings.service_kind is ServiceKind.SHARED:
+            return self.shared_service_pause_ms()
+        # A service that accepts every call and drops it at once counts as failing.
+        return self.random() * self.span_ms(self.base_span_ms, self.longest_span_ms)
+
+    def shared_service_pause_ms(self) -> float:
+        """The pause after a call that a shared service accepted and did not answer.
+
+        It is never under half of the span, so that the load on the service is certain to fall."""
+        longest_span_ms = min(self.SHARED_LONGEST_SPAN_MS, self.settings.max_poll_interval_ms)
+        return self.span_ms(self.SHARED_BASE_SPAN_MS, longest_span_ms) * (0.5 + 0.5 * self.random())
+
+    def span_ms(self, base_ms: float, longest_ms: float) -> float:
+        return min(longest_ms, base_ms * 2.0 ** min(self.failures - 1, 16))
