--- a/myrtleroad/membership/server_list.py
+++ b/myrtleroad/membership/server_list.py
@@ -1,8 +1,8 @@
-"""What a list changes: whose word holds where lists are older, repeated, with gaps, unreadable in part, or
-told by two sources at once.
+"""Resolves what a received server list changes when lists arrive late, repeatedly, with gaps, partly
+unreadable, or from two sources at once.
 
-The book keeps what was applied last of each machine, as little as is needed to compare. What it returns goes
-to the module as it is."""
+Only the last applied entry of each server is kept, the minimum needed for comparison. The changes returned
+are passed on to the decision module unmodified."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,17 +13,19 @@
 
 
 class Restriction(IntEnum):
-    """How much a machine may be sent; a higher rank forbids more."""
+    """How far sending to a server is restricted; a higher value forbids more."""
 
     NONE = 0
-    DRAINING = 1  # it drains
-    GONE = 2  # it is gone
+    DRAINING = 1
+    GONE = 2
 
 
 @dataclass(slots=True)
 class ListMessage(Generic[T]):
-    """One list as a source told it. ``entries`` by the machine's word; ``unreadable``: the words of entries
-    that could not be read, and None for one without a word."""
+    """One list received from a source. ``whole``: it names all servers, otherwise only those that changed.
+
+    ``entries`` are keyed by server id. ``unreadable`` holds the ids of entries that could not be decoded, and
+    None for each entry without an id."""
 
     source: int
     version: int
@@ -34,9 +36,10 @@
 
 @dataclass(slots=True)
 class ListChange(Generic[T]):
-    """What is to be applied: a whole list or changes. ``blocked``: machines that may be sent nothing until a
-    list that can be read says more of them. ``refetch_reason``: what a whole
-    list is wanted for, empty where none is."""
+    """What is to be applied: a whole list or changes to it.
+
+    ``blocked``: ids of servers that must not be sent anything until a readable entry for them arrives.
+    ``refetch_reason``: why the whole list has to be fetched again, empty if it does not."""
 
     whole: bool
     entries: dict[str, T]
@@ -45,116 +48,151 @@
 
 
 class ServerList(Generic[T]):
-    """``rank`` tells the Restriction of an entry, ``same`` whether two entries speak of the same start of the
-    same build. ``consecutive_versions``: versions go up by one, so that a jump shows a gap."""
-
-    __slots__ = ("blocked", "consecutive_versions", "entries", "held", "rank", "same", "source", "version")
+    """The list last applied, with the rules by which a received one may change it.
+
+    ``restriction_of`` gives the Restriction of an entry, ``same_start`` whether two entries are of the same
+    start of the same build. ``consecutive_versions``: versions increase by one, so that a larger step shows
+    that a list was missed."""
+
+    __slots__ = (
+        "blocked",
+        "consecutive_versions",
+        "entries",
+        "held_back",
+        "restriction_of",
+        "same_start",
+        "source",
+        "version",
+    )
 
     def __init__(
         self,
-        rank: Callable[[T], Restriction],
-        same: Callable[[T, T], bool],
+        restriction_of: Callable[[T], Restriction],
+        same_start: Callable[[T, T], bool],
         version: int = 0,
         consecutive_versions: bool = False,
     ):
-        self.rank, self.same, self.consecutive_versions = rank, same, consecutive_versions
-        self.version, self.source = version, 0
-        self.entries: dict[str, T] = {}  # machines of the last whole list and since; emptied as they go
-        self.held: ListMessage[T] | None = (
-            None  # from a new source that is behind the old one, until that ends
+        self.restriction_of, self.same_start, self.consecutive_versions = (
+            restriction_of,
+            same_start,
+            consecutive_versions,
         )
-        self.blocked: set[str] = set()  # words whose entry was unclear; emptied as they are told or leave
+        self.version, self.source = version, 0
+        self.entries: dict[str, T] = {}  # of the last whole list and since; removed once the server is gone
+        # From a newer source whose version is behind the current one; applied once the current source ends.
+        self.held_back: ListMessage[T] | None = None
+        self.blocked: set[str] = set()  # ids of unreadable entries; removed once readable or no longer listed
 
     def load_initial(self, version: int, entries: dict[str, T]) -> None:
-        """The list that a front has at its start."""
+        """Sets the list that a front has at its start."""
         self.version, self.entries = version, dict(entries)
 
-    def apply_message(self, said: ListMessage[T], sole: bool) -> ListChange[T] | None:
-        """What this list changes; None where its word does not hold. ``sole``: no other source tells."""
-        newer = said.source > self.source
-        if newer and (sole or said.version >= self.version):
-            # Guards against numbers that began anew: a source alone has its word, whatever they are.
-            self.held = None
-            return self.begin(said)
-        if newer:
-            self.held = self.merged(said)
-            return self.narrowed(said)
-        if said.source < self.source:
-            return self.narrowed(said)  # what the source that we left says may still close, never open
-        if said.version < self.version and not said.whole:
-            # Guards against changes on top of a list that we never had: discovery came back from before.
-            change = self.narrowed(said) or ListChange(False, {})
-            self.version = said.version
-            change.refetch_reason = "numbers went back"
+    def apply_message(self, message: ListMessage[T], sole_source: bool) -> ListChange[T] | None:
+        """What this list changes; None if it changes nothing. ``sole_source``: no other source is open."""
+        from_newer_source = message.source > self.source
+        if from_newer_source and (sole_source or message.version >= self.version):
+            # Guards against a restarted version count: a sole source is right whatever its versions are.
+            self.held_back = None
+            return self.switch_source(message)
+        if from_newer_source:
+            self.held_back = self.merged_with_held_back(message)
+            return self.restricting_part(message)
+        if message.source < self.source:
+            return self.restricting_part(message)  # a source that was replaced may restrict, never open
+        if message.version < self.version and not message.whole:
+            # Guards against changes to a list that was never received: discovery was restored to older state.
+            change = self.restricting_part(message) or ListChange(False, {})
+            self.version = message.version
+            change.refetch_reason = "versions went back"
             return change
-        return self.apply(said)
+        return self.apply(message)
 
-    def apply_fetched(self, said: ListMessage[T]) -> ListChange[T] | None:
-        """A whole list that was asked for by itself. Guards against one made before the last change."""
-        if said.source != self.source:
+    def apply_fetched(self, message: ListMessage[T]) -> ListChange[T] | None:
+        """Applies a whole list that was fetched separately, unless it was made before the last change."""
+        if message.source != self.source:
             return None
-        if said.version < self.version:
+        if message.version < self.version:
             return ListChange(False, {}, refetch_reason="the whole list was older")
-        return self.apply(said)
+        return self.apply(message)
 
     def source_ended(self, source: int) -> ListChange[T] | None:
-        """A source has ended: what a newer one told meanwhile, if it was behind, holds from now on."""
-        held = self.held
-        if held is None or source >= held.source:
+        """A source has ended: what was held back from a newer one takes effect now."""
+        held_back = self.held_back
+        if held_back is None or source >= held_back.source:
             return None
-        self.held = None
-        return self.begin(held)
-
-    def begin(self, said: ListMessage[T]) -> ListChange[T]:
-        """A newer source's word holds from here on."""
-        behind = said.version < self.version
-        self.source = said.source
-        change = self.apply(said)
-        if behind and not said.whole:
-            change.refetch_reason = "numbers went back"
+        self.held_back = None
+        return self.switch_source(held_back)
+
+    def switch_source(self, message: ListMessage[T]) -> ListChange[T]:
+        """Makes the message's source the current one and applies the message."""
+        is_behind = message.version < self.version
+        self.source = message.source
+        change = self.apply(message)
+        if is_behind and not message.whole:
+            change.refetch_reason = "versions went back"
         return change
 
-    def apply(self, said: ListMessage[T]) -> ListChange[T]:
-        gap = self.consecutive_versions and not said.whole and said.version > self.version + 1
-        change = ListChange(said.whole, dict(said.entries), refetch_reason="a gap" if gap else "")
-        if said.whole:
-            # Guards against taking a machine for gone whose entry alone could not be read.
-            kept = {w: self.entries[w] for w in said.unreadable if w is not None and w in self.entries}
+    def apply(self, message: ListMessage[T]) -> ListChange[T]:
+        """Applies a message of the current source."""
+        has_gap = self.consecutive_versions and not message.whole and message.version > self.version + 1
+        change = ListChange(
+            message.whole, dict(message.entries), refetch_reason="version gap" if has_gap else ""
+        )
+        if message.whole:
+            # Guards against treating a server as gone when only its entry could not be decoded.
+            kept = {
+                server_id: self.entries[server_id]
+                for server_id in message.unreadable
+                if server_id is not None and server_id in self.entries
+            }
             change.entries |= kept
             self.entries, self.blocked = dict(change.entries), set()
         else:
-            self.entries |= said.entries
-        self.blocked -= said.entries.keys()
-        self.note(said, change)
-        self.version = said.version
-        for word, entry in list(said.entries.items()):
-            if self.rank(entry) == Restriction.GONE:
-                self.entries.pop(word, None)
+            self.entries |= message.entries
+        self.blocked -= message.entries.keys()
+        self.block_unreadable(message, change)
+        self.version = message.version
+        for server_id, entry in list(message.entries.items()):
+            if self.restriction_of(entry) == Restriction.GONE:
+                self.entries.pop(server_id, None)
         return change
 
-    def note(self, said: ListMessage[T], change: ListChange[T]) -> None:
-        """Entries that could not be read: their machines are sent nothing until a list says more."""
-        if said.unreadable:
-            self.blocked |= {w for w in said.unreadable if w is not None and w in self.entries}
-            change.refetch_reason = change.refetch_reason or "unclear entries"
+    def block_unreadable(self, message: ListMessage[T], change: ListChange[T]) -> None:
+        """Blocks the servers whose entries could not be decoded and requests the whole list."""
+        if message.unreadable:
+            self.blocked |= {
+                server_id
+                for server_id in message.unreadable
+                if server_id is not None and server_id in self.entries
+            }
+            change.refetch_reason = change.refetch_reason or "unreadable entries"
         change.blocked = sorted(self.blocked)
 
-    def narrowed(self, said: ListMessage[T]) -> ListChange[T] | None:
-        """Of a list whose order against ours is not known, only what forbids, and only of the same start."""
+    def restricting_part(self, message: ListMessage[T]) -> ListChange[T] | None:
+        """Of a list whose order relative to the current one is unknown: only the entries that restrict more,
+        and only for the same start of a server."""
         entries = {}
-        for word, entry in said.entries.items():
-            known = self.entries.get(word)
-            if known is not None and self.same(known, entry) and self.rank(entry) > self.rank(known):
-                entries[word] = self.entries[word] = entry
+        for server_id, entry in message.entries.items():
+            known = self.entries.get(server_id)
+            if (
+                known is not None
+                and self.same_start(known, entry)
+                and self.restriction_of(entry) > self.restriction_of(known)
+            ):
+                entries[server_id] = self.entries[server_id] = entry
         change = ListChange(False, entries)
-        self.note(said, change)
-        return change if entries or said.unreadable else None
-
-    def merged(self, said: ListMessage[T]) -> ListMessage[T]:
-        held = self.held
-        if held is None or said.whole or held.source != said.source:
-            return said
-        entries = held.entries | said.entries
-        if held.whole:
-            entries = {w: e for w, e in entries.items() if self.rank(e) != Restriction.GONE}
-        return ListMessage(said.source, said.version, held.whole, entries, said.unreadable)
+        self.block_unreadable(message, change)
+        return change if entries or message.unreadable else None
+
+    def merged_with_held_back(self, message: ListMessage[T]) -> ListMessage[T]:
+        held_back = self.held_back
+        if held_back is None or message.whole or held_back.source != message.source:
+            return message
+        entries = held_back.entries | message.entries
+        if held_back.whole:
+            entries = {
+                server_id: entry
+                for server_id, entry in entries.items()
+                if self.restriction_of(entry) != Restriction.GONE
+            }
+        return ListMessage(message.source, message.version, held_back.whole, entries, message.unreadable)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -252,7 +252,7 @@
     change = servers.apply_message(ListMessage(0, 3, False, {"a": DRAINING, "c": OPEN}), True)
     assert (
         change.entries == {"a": DRAINING}
-        and change.refetch_reason == "numbers went back"
+        and change.refetch_reason == "versions went back"
         and servers.version == 3
     )
     assert servers.apply_fetched(ListMessage(0, 2, True, {})).refetch_reason  # made before the last change
@@ -264,13 +264,16 @@
     servers = initial_list(a=1)
     servers.consecutive_versions = True
     assert not servers.apply_message(ListMessage(0, 8, False, {}), True).refetch_reason
-    assert servers.apply_message(ListMessage(0, 10, False, {"a": DRAINING}), True).refetch_reason == "a gap"
+    assert (
+        servers.apply_message(ListMessage(0, 10, False, {"a": DRAINING}), True).refetch_reason
+        == "version gap"
+    )
 
 
 def test_an_unreadable_entry_blocks_its_server_until_a_readable_one_arrives():
     servers = initial_list(a=1, b=1)
     change = servers.apply_message(ListMessage(0, 8, False, {}, ["a", None]), True)
-    assert change.blocked == ["a"] and change.refetch_reason == "unclear entries"
+    assert change.blocked == ["a"] and change.refetch_reason == "unreadable entries"
     whole = servers.apply_message(ListMessage(0, 9, True, {"b": OPEN}, ["a"]), True)
     assert set(whole.entries) == {"a", "b"} and whole.blocked == ["a"]  # an unreadable entry isn't a removal
     assert (
