--- a/myrtleroad/membership/stream_follower.py
+++ b/myrtleroad/membership/stream_follower.py
@@ -1,8 +1,9 @@
-"""Which streams a follower holds, how fresh their word is, and what to do as they open, fall silent or end.
+"""Decides which streams of one service a follower keeps open, how fresh their data is, and what to do when a
+stream opens, falls silent or ends.
 
-A pure state machine: each call takes the time and returns what is to be done. Streams are named by numbers
-that only go up; a later one was asked from a later state, so once it has told something those before it are
-of no use. ``due`` says when ``tick`` is wanted next."""
+A pure state machine: each call takes the time and returns the actions to carry out. Streams are identified by
+increasing numbers. A later stream was opened from a later state, so once it has delivered a message the
+streams before it are of no use. ``due`` gives the time at which ``tick`` has to be called next."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,23 +15,25 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenStream:
-    """Begin a stream under this number, at the address that holds now."""
+    """Open a stream with this number to the current address."""
 
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
 class CloseStream:
+    """Close the stream with this number."""
+
     stream: int
     why: str
 
 
 @dataclass(slots=True, frozen=True)
 class FreshnessChanged:
-    """The sight has changed."""
+    """The freshness of the followed data has changed."""
 
     freshness: ListFreshness
-    confirmed_at: float  # when the last word or sign of life came
+    confirmed_at: float  # when the last message or heartbeat arrived
     why: str
 
 
@@ -41,135 +44,147 @@
 class StreamState:
     """One stream that is open or being opened."""
 
-    source: int  # counts the addresses; streams of one source tell one numbering
+    source: int  # counts the addresses; all streams of one source use the same version numbers
     opened_at: float
-    last_received_at: float  # the last byte; its beginning before any
-    first_message_at: float | None = None  # when it first told something
+    last_received_at: float  # of the last byte; ``opened_at`` before the first
+    first_message_at: float | None = None
 
 
 class StreamFollower:
-    DOUBT = 1.3  # signs of life late by this much of their interval are missing; loops are held for tenths
-    GIVE_UP = 2.25  # intervals without a sign: two have been missed, with some room
-    OPENING_MS = 2500.0  # for a connection and a first word: a service answers in ms, one in a queue in 2 s
-    OLD_SOURCE_READ_MS = 5000.0  # a source that was left is read for so long at most once the new one speaks
+    """Follows one service over one stream, with a second beside it while the first is in doubt."""
+
+    DOUBTFUL_INTERVALS = 1.3  # heartbeat intervals without a byte; event loops stall for tenths of a second
+    SILENT_INTERVALS = 2.25  # heartbeat intervals without a byte: two heartbeats missed, plus some margin
+    # For a connection and the first message: a service responds within ms, one behind a queue within 2 s.
+    OPEN_TIMEOUT_MS = 2500.0
+    OLD_SOURCE_READ_MS = 5000.0  # for how long a previous source is read once the new one has sent a byte
 
     __slots__ = (
-        "asking",
+        "backoff",
         "confirmed_at",
         "freshness",
+        "is_started",
         "lease",
-        "manner",
         "next_open_at",
         "next_stream",
+        "settings",
         "source",
         "streams",
-        "wanted",
     )
 
-    def __init__(self, manner: FollowerSettings, chance: Callable[[], float], now: float):
-        self.manner, self.asking = manner, CallBackoff(manner, chance)
-        self.streams: dict[int, StreamState] = {}  # in the order of their numbers: the one
-        # that stands, one beside it, and after a move one that was left
-        self.next_stream, self.source, self.wanted = 0, 0, False
-        self.next_open_at: float | None = None  # when to ask again, where no stream is held
+    def __init__(self, settings: FollowerSettings, random: Callable[[], float], now: float):
+        self.settings, self.backoff = settings, CallBackoff(settings, random)
+        # In the order of their numbers: the established stream, one opened beside it, and after a change of
+        # address one to the previous address.
+        self.streams: dict[int, StreamState] = {}
+        self.next_stream, self.source, self.is_started = 0, 0, False
+        self.next_open_at: float | None = None  # when to open the next stream, if one is scheduled
         self.freshness, self.confirmed_at = ListFreshness.BLIND, now
-        self.lease: ListLease | None = None  # of what is followed, where that expires
+        self.lease: ListLease | None = None  # on the followed data, if that expires
 
     # --- events ---
 
     def start(self, now: float) -> list[FollowerAction]:
-        """Follow from now on; where it is followed or asked already, nothing."""
-        if self.wanted:
+        """Starts following; does nothing once started."""
+        if self.is_started:
             return []
-        self.wanted = True
+        self.is_started = True
         return [self.open(now)]
 
     def bytes_received(self, stream: int, now: float) -> list[FollowerAction]:
-        """Any byte, a sign of life too."""
-        if (s := self.streams.get(stream)) is not None:
-            s.last_received_at = now
-        return self.look(now, "heard again")
+        """The stream has received bytes; a heartbeat counts as well."""
+        if (state := self.streams.get(stream)) is not None:
+            state.last_received_at = now
+        return self.update_freshness(now, "bytes received again")
 
     def message_received(self, stream: int, now: float) -> list[FollowerAction]:
-        """It has told something that could be read: the streams before it have done their part."""
-        s = self.streams.get(stream)
-        if s is None:
+        """The stream has delivered a readable message, which makes the streams before it obsolete."""
+        state = self.streams.get(stream)
+        if state is None:
             return []
-        s.last_received_at = now
-        s.first_message_at = now if s.first_message_at is None else s.first_message_at
-        if self.lease is not None and s.source == self.source:
+        state.last_received_at = now
+        state.first_message_at = now if state.first_message_at is None else state.first_message_at
+        if self.lease is not None and state.source == self.source:
             self.lease.new_address_confirmed()
-        acts: list[FollowerAction] = [self.close(n, "another one tells") for n in self.streams if n < stream]
-        for act in acts:
-            del self.streams[act.stream]
-        return acts + self.look(now, "told")
+        actions: list[FollowerAction] = [
+            self.close(number, "superseded by a newer stream") for number in self.streams if number < stream
+        ]
+        for action in actions:
+            del self.streams[action.stream]
+        return actions + self.update_freshness(now, "told")
 
     def stream_ended(self, stream: int, now: float, why: str, connected: bool = True) -> list[FollowerAction]:
-        """``connected``: a connection for it had come up."""
-        s = self.streams.pop(stream, None)
-        if s is None:
+        """The peer or the network has ended the stream. ``connected``: its connection was established."""
+        state = self.streams.pop(stream, None)
+        if state is None:
             return []
-        self.parted(s, now, connected)
-        return self.look(now, why)
+        self.schedule_reopen(state, now, connected)
+        return self.update_freshness(now, why)
 
     def address_changed(self, now: float) -> list[FollowerAction]:
-        """Another address holds from now on: it is asked at once, and the old stream read until the new one
-        has told something. Guards against a word lost between the two, and against a pause begun before."""
+        """The service has a new address: a stream to it is opened at once, and the old stream is read until
+        the new one delivers a message. Guards against losing a message between the two, and against waiting
+        out a pause that began before the change."""
         self.source += 1
-        self.wanted = True
+        self.is_started = True
         if self.lease is not None:
             self.lease.address_changed(now)
-        # Guards against a row of moves: of what was left only what has told something is still read.
-        telling = [n for n, x in self.streams.items() if x.first_message_at is not None]
-        left = [n for n in self.streams if n not in telling[-1:]]
-        acts: list[FollowerAction] = [self.close(n, "left") for n in left]
-        for n in left:
+        # Guards against several changes in a row: of the old streams, only the last established one is kept.
+        established = [n for n, state in self.streams.items() if state.first_message_at is not None]
+        obsolete = [n for n in self.streams if n not in established[-1:]]
+        actions: list[FollowerAction] = [self.close(n, "left") for n in obsolete]
+        for n in obsolete:
             del self.streams[n]
-        return [*acts, self.open(now)]
+        return [*actions, self.open(now)]
 
     def tick(self, now: float) -> list[FollowerAction]:
-        """What only the clock tells. To be called with all that has come already taken in: a loop that was
-        held must not take its own silence for that of the other side."""
-        acts: list[FollowerAction] = []
-        for number, s in list(self.streams.items()):
-            if now >= self.ends(s):
+        """Acts on the passing of time. Everything that has arrived must have been passed in before the call:
+        a stalled event loop must not mistake its own silence for that of the peer."""
+        actions: list[FollowerAction] = []
+        for number, state in list(self.streams.items()):
+            if now >= self.expires_at(state):
                 del self.streams[number]
-                acts.append(self.close(number, "silent"))
-                self.parted(s, now)
+                actions.append(self.close(number, "silent"))
+                self.schedule_reopen(state, now)
         if self.next_open_at is not None and now >= self.next_open_at:
-            acts.append(self.open(now))
-        acts += self.look(now, "silent")
-        if self.next_open_at is None and (last := self.last()) is not None and now >= self.doubt(last):
-            # Guards against a half-open connection: another is asked beside it, and both are read.
-            acts.append(self.open(now))
-        return acts
-
-    # --- what follows from them ---
+            actions.append(self.open(now))
+        actions += self.update_freshness(now, "silent")
+        if (
+            self.next_open_at is None
+            and (newest := self.newest_established()) is not None
+            and now >= self.doubtful_at(newest)
+        ):
+            # Guards against a half-open connection: a second stream is opened, and both are read.
+            actions.append(self.open(now))
+        return actions
+
+    # --- queries and transitions ---
 
     def due(self) -> float:
-        """When ``tick`` has something to do."""
-        times = [self.ends(s) for s in self.streams.values()]
+        """When ``tick`` next has something to do."""
+        times = [self.expires_at(state) for state in self.streams.values()]
         if self.next_open_at is not None:
             times.append(self.next_open_at)
-        elif (last := self.last()) is not None:
-            times.append(self.doubt(last))
+        elif (newest := self.newest_established()) is not None:
+            times.append(self.doubtful_at(newest))
         return min(times, default=float("inf"))
 
     def age_ms(self, now: float) -> float:
-        """How long ago the last word or sign of life came, in ms."""
+        """The time since the last message or heartbeat, in ms."""
         return now - self.confirmed_at
 
     def is_sole_source(self, stream: int) -> bool:
-        """Whether no stream of another source has told anything and still stands."""
-        s = self.streams.get(stream)
-        return s is not None and not any(
-            x.first_message_at is not None and x.source != s.source for x in self.streams.values()
+        """Whether no stream of another source that has delivered a message is still open."""
+        state = self.streams.get(stream)
+        return state is not None and not any(
+            other.first_message_at is not None and other.source != state.source
+            for other in self.streams.values()
         )
 
-    def last(self) -> StreamState | None:
-        """The newest stream, if it has told something: it is the one to be doubted."""
-        s = next(reversed(self.streams.values()), None)
-        return s if s is not None and s.first_message_at is not None else None
+    def newest_established(self) -> StreamState | None:
+        """The newest stream, if it has delivered a message; it decides whether another one is opened."""
+        newest = next(reversed(self.streams.values()), None)
+        return newest if newest is not None and newest.first_message_at is not None else None
 
     def open(self, now: float) -> OpenStream:
         number, self.next_stream, self.next_open_at = self.next_stream, self.next_stream + 1, None
@@ -181,55 +196,63 @@
     def close(self, number: int, why: str) -> CloseStream:
         return CloseStream(number, why)
 
-    def parted(self, s: StreamState, now: float, connected: bool = True) -> None:
-        """A stream has gone. Another is due, after the pause that its end asks for, where none of the present
-        source is left, or only one that is in doubt."""
-        mine = [x for x in self.streams.values() if x.source == self.source]
-        if not mine or all(x.first_message_at is not None and now >= self.doubt(x) for x in mine):
-            self.next_open_at = now + self.asking.next_pause_ms(
-                None if s.first_message_at is None else now - s.first_message_at, connected
+    def schedule_reopen(self, ended: StreamState, now: float, connected: bool = True) -> None:
+        """Schedules another stream after one has gone, if none of the current source is left or all that are
+        left are doubtful. The backoff sets the pause by how the stream ended."""
+        current = [state for state in self.streams.values() if state.source == self.source]
+        if not current or all(
+            state.first_message_at is not None and now >= self.doubtful_at(state) for state in current
+        ):
+            self.next_open_at = now + self.backoff.next_pause_ms(
+                None if ended.first_message_at is None else now - ended.first_message_at, connected
             )
 
-    def ends(self, s: StreamState) -> float:
-        """When a stream that says nothing more is given up, or one that was left."""
-        if s.last_received_at == s.opened_at:
-            return s.opened_at + self.OPENING_MS
-        end = s.last_received_at + self.GIVE_UP * self.manner.heartbeat_interval_ms
-        spoke = [
-            x.opened_at
-            for x in self.streams.values()
-            if x.source > s.source and x.last_received_at > x.opened_at
+    def expires_at(self, state: StreamState) -> float:
+        """When a stream is given up if it stays silent, or if a newer source has replaced its own."""
+        if state.last_received_at == state.opened_at:
+            return state.opened_at + self.OPEN_TIMEOUT_MS
+        silent_at = state.last_received_at + self.SILENT_INTERVALS * self.settings.heartbeat_interval_ms
+        newer_opened_at = [
+            other.opened_at
+            for other in self.streams.values()
+            if other.source > state.source and other.last_received_at > other.opened_at
         ]
-        return min([end, *(at + self.OLD_SOURCE_READ_MS for at in spoke)])
+        return min([silent_at, *(opened_at + self.OLD_SOURCE_READ_MS for opened_at in newer_opened_at)])
 
-    def doubt(self, s: StreamState) -> float:
-        """From when a stream that says nothing is in doubt."""
-        return s.last_received_at + self.DOUBT * self.manner.heartbeat_interval_ms
+    def doubtful_at(self, state: StreamState) -> float:
+        """From when a stream is in doubt if it stays silent."""
+        return state.last_received_at + self.DOUBTFUL_INTERVALS * self.settings.heartbeat_interval_ms
 
-    def renew(self, now: float, followed: bool) -> None:
-        """The lease learns what stands."""
+    def update_lease(self, now: float, has_established: bool) -> None:
+        """Updates the lease with the state of the streams."""
         if self.lease is None:
             return
-        if followed:
+        if has_established:
             self.lease.confirm(self.confirmed_at)
         else:
             self.lease.stream_lost(now, self.freshness is not ListFreshness.FRESH)
-        self.lease.set_call_pending(any(s.first_message_at is None for s in self.streams.values()))
-
-    def look(self, now: float, why: str) -> list[FollowerAction]:
-        """The sight of now; told once at each change."""
-        telling = [s for s in self.streams.values() if s.first_message_at is not None]
-        if telling:
-            self.confirmed_at = max(self.confirmed_at, *(s.last_received_at for s in telling))
-            sight = (
-                ListFreshness.FRESH if any(now < self.doubt(s) for s in telling) else ListFreshness.DOUBTFUL
+        self.lease.set_call_pending(any(state.first_message_at is None for state in self.streams.values()))
+
+    def update_freshness(self, now: float, why: str) -> list[FollowerAction]:
+        """Recomputes the freshness and reports it if it has changed."""
+        established = [state for state in self.streams.values() if state.first_message_at is not None]
+        if established:
+            self.confirmed_at = max(self.confirmed_at, *(state.last_received_at for state in established))
+            freshness = (
+                ListFreshness.FRESH
+                if any(now < self.doubtful_at(state) for state in established)
+                else ListFreshness.DOUBTFUL
             )
         else:
-            sight = ListFreshness.BLIND
-        self.renew(now, bool(telling))
-        if (last := self.last()) is not None and last.source == self.source and now < self.doubt(last):
-            self.next_open_at = None  # the one that was in doubt speaks again
-        if sight == self.freshness:
+            freshness = ListFreshness.BLIND
+        self.update_lease(now, bool(established))
+        if (
+            (newest := self.newest_established()) is not None
+            and newest.source == self.source
+            and now < self.doubtful_at(newest)
+        ):
+            self.next_open_at = None  # the stream that was in doubt is alive again
+        if freshness == self.freshness:
             return []
-        self.freshness = sight
-        return [FreshnessChanged(sight, self.confirmed_at, why)]
+        self.freshness = freshness
+        return [FreshnessChanged(freshness, self.confirmed_at, why)]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -101,7 +101,7 @@
     ]
     assert follower.tick(follower.due() - 1) == []
     assert follower.message_received(1, 2700.0) == [
-        CloseStream(0, "another one tells"),
+        CloseStream(0, "superseded by a newer stream"),
         FreshnessChanged(ListFreshness.FRESH, 2700.0, "told"),
     ]
 
@@ -115,7 +115,8 @@
         and follower.due() > 2650.0
     )
     assert (
-        follower.bytes_received(0, 2660.0) == [FreshnessChanged(ListFreshness.FRESH, 2660.0, "heard again")]
+        follower.bytes_received(0, 2660.0)
+        == [FreshnessChanged(ListFreshness.FRESH, 2660.0, "bytes received again")]
         and follower.next_open_at is None
     )
 
