--- a/myrtleroad/net/client_listener.py
+++ b/myrtleroad/net/client_listener.py
@@ -63,7 +63,7 @@
         "sock",
         "tenant",
         "turn",
-        "written",
+        "write_started_at",
     )
 
     def __init__(self, door: "ClientListener", sock: socket.socket, peer: str = "", brief: bool = False):
@@ -80,10 +80,10 @@
         self.begun, self.first = 0.0, 0  # how long after the connecting the reader began; in which turn
         self.behind: float | None = None  # since when bytes behind a req have waited here
         self.since = door.clock()  # of connecting, of the last answer, of a later req's first byte
-        self.written: float | None = None  # since when an answer is being written
+        self.write_started_at: float | None = None  # since when an answer is being written
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         return self.turn.is_set() and not self.requests.begun
 
     def run(self) -> None:
@@ -129,7 +129,7 @@
                 rest = bytes(data)  # what comes behind a req waits until that is answered
                 if self.behind is None:
                     self.behind = self.door.clock()
-                if not self.awaited():
+                if not self.wait_for_response():
                     return
             else:
                 rest = self.feed(data)
@@ -157,7 +157,7 @@
             self.behind = None
         return rest
 
-    def awaited(self) -> bool:
+    def wait_for_response(self) -> bool:
         """Waits for the answer that is owed; false where the client leaves first."""
         while not self.turn.wait(LOOK_S):
             if http1.peek(self.sock) == b"":
@@ -174,8 +174,8 @@
 
     def take(self, message: http1.Message, age: float) -> None:
         door, now = self.door, self.door.clock()
-        self.closing = not message.keep
-        rq = door.req(message, now - age)
+        self.closing = not message.keep_alive
+        rq = door.parse_request(message, now - age)
         if self.brief:
             self.closing = True
             rq = rq if isinstance(rq, response.Response) else door.full()
@@ -203,7 +203,7 @@
         self.leave()
         self.closing = self.closing or self.door.stopping or self.door.crowded
         self.door.counters.add(f"answers_{final.status}")
-        self.written = self.door.clock()
+        self.write_started_at = self.door.clock()
         parts = self.parts(final)
         left = self.guarded(lambda: http1.send_nowait(self.sock, parts))
         if left:
@@ -246,18 +246,18 @@
         if self.closing:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
-        self.since, self.written = self.door.clock(), None
+        self.since, self.write_started_at = self.door.clock(), None
         self.turn.set()
 
     def drop(self) -> None:
         self.closing = True
         self.sock.close()
-        self.door.clients.discard(self)
+        self.door.connections.discard(self)
 
     def look(self, now: float) -> None:
         """The limits of time of one connection; they do not touch a req that the module has."""
         if not self.turn.is_set():
-            if self.written is not None and now - self.written > WRITE_MS:
+            if self.write_started_at is not None and now - self.write_started_at > WRITE_MS:
                 self.door.counters.add("writes_given_up")
                 self.drop()
         elif self.closing:
@@ -273,7 +273,9 @@
 
 class ClientListener:
     ACTOR_NAME = "door"  # the actor's name in log events
-    BRIEF = 8  # connections taken beyond the clients' half only to be refused: a third of what is kept APART
+    EXTRA_CONNECTIONS = (
+        8  # connections taken beyond the clients' half only to be refused: a third of what is kept APART
+    )
     ROOM = 16  # connections closed at once when descriptors run short
     PAUSE_S = 0.01  # before the next look where none can be closed, so that accepting does not spin
 
@@ -288,10 +290,10 @@
     ):
         self.told, self.clock, self.counters, self.log = told, clock, counters, log
         self.deliver, self.is_ready = deliver, is_ready
-        self.clients: set[ClientConnection] = set()  # emptied as each connection closes
-        self.lag, self.early = ReadDelay(clock), RateLimitedWarnings(log)
-        self.entry = AdmissionControl(r.objective_ms for r in told.facts.routes)
-        self.most = (told.sockets - RESERVED_DESCRIPTORS) // 2  # the other half is for machines
+        self.connections: set[ClientConnection] = set()  # emptied as each connection closes
+        self.lag, self.unread_warnings = ReadDelay(clock), RateLimitedWarnings(log)
+        self.admission = AdmissionControl(r.objective_ms for r in told.facts.routes)
+        self.max_connections = (told.sockets - RESERVED_DESCRIPTORS) // 2  # the other half is for machines
         self.many = (
             told.sockets // 4
         )  # connections kept between reqs: under the third that open reqs may hold
@@ -306,13 +308,15 @@
     def crowded(self) -> bool:
         """Whether an answer is its connection's last. Guards against clients that ask once and keep their
         connection: the descriptors they hold, until they are found idle, are those of the next clients."""
-        return len(self.clients) > self.many
+        return len(self.connections) > self.many
 
-    def bind(self, settings: i.Settings, networks: "Networks | None", gate: "RequestLimits | None") -> None:
+    def apply_limits(
+        self, settings: i.Settings, networks: "Networks | None", gate: "RequestLimits | None"
+    ) -> None:
         """What holds from now on: for reqs not yet taken, and for addresses at once."""
         self.settings, self.networks = settings, networks
         if self.gate is not gate:
-            for client in self.clients:
+            for client in self.connections:
                 client.tenant = None  # counted by a gate that is no more, or by none
             self.gate = gate
 
@@ -335,12 +339,14 @@
     def word(self, rq: i.Request, message: http1.Message, age: float, now: float) -> response.Response | None:
         """The answer to a req that has waited unread for too long; nothing was sent for it."""
         self.counters.record_high("longest_unread_ms", age)
-        word = self.entry.decide(age, rq.deadline - now, now)
+        word = self.admission.decide(age, rq.deadline - now, now)
         if word == AdmissionDecision.TAKE:
             return None
         self.counters.add(f"reqs_unread_{word.name.lower()}")
         txn, left = (message.header(b"x-txn") or b"").decode("latin-1"), round(rq.deadline - now, 1)
-        self.early("req refused unread", now, txn=txn, age_ms=round(age, 1), left_ms=left, why=word.name)
+        self.unread_warnings(
+            "req refused unread", now, txn=txn, age_ms=round(age, 1), left_ms=left, why=word.name
+        )
         return response.overloaded(self.settings)
 
     def run(self) -> None:
@@ -352,7 +358,10 @@
 
     def accept(self) -> None:
         while True:
-            if len(self.clients) >= self.most + self.BRIEF and not self.make_room():
+            if (
+                len(self.connections) >= self.max_connections + self.EXTRA_CONNECTIONS
+                and not self.make_room()
+            ):
                 gevent.sleep(self.PAUSE_S)
                 continue
             try:
@@ -366,9 +375,9 @@
                 gevent.sleep(self.PAUSE_S)
             else:
                 # Guards against whole reqs that wait unread, past their time, for others' descriptors.
-                if len(self.clients) >= self.most:
+                if len(self.connections) >= self.max_connections:
                     self.make_room()
-                self.welcome(sock, peer[0], len(self.clients) >= self.most)
+                self.welcome(sock, peer[0], len(self.connections) >= self.max_connections)
 
     def full(self) -> response.Response:
         self.counters.add("reqs_full")
@@ -378,21 +387,21 @@
         while True:
             gevent.sleep(SWEEP_S)
             now = self.clock()
-            for client in list(self.clients):
+            for client in list(self.connections):
                 client.look(now)
 
     def welcome(self, sock: socket.socket, peer: str, brief: bool = False) -> None:
         try_set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
         self.counters.add("client_connections")
         client = ClientConnection(self, sock, peer, brief)
-        self.clients.add(client)
+        self.connections.add(client)
         gevent.spawn(client.run)
 
     def make_room(self) -> bool:
         """Connections whose last answer has gone out give way first, then those idle for longest, then those
         with half a req; one that holds a req, or on which something waits to be read, never does."""
         free = sorted(
-            (c for c in self.clients if c.turn.is_set()),
+            (c for c in self.connections if c.turn.is_set()),
             key=lambda c: (not c.closing, c.requests.begun, c.since),
         )
         given = [c for c in free[: self.ROOM] if c.closing or http1.peek(c.sock) is None]
@@ -401,7 +410,7 @@
             client.drop()
         return bool(given)
 
-    def shut(self, until: float) -> None:
+    def stop_listening(self, until: float) -> None:
         """Take what is in the queue, then stop listening and close the idle connections. ``until``: how long
         accepting may fail before what is in the queue is given up, as its requests are over by then."""
         self.sock.settimeout(0)
@@ -421,10 +430,10 @@
         self.closed = True
         self.sock.close()
         gevent.sleep(0)  # what has come on them is read before any is found idle
-        for client in [c for c in self.clients if c.idle]:
+        for client in [c for c in self.connections if c.is_idle]:
             client.drop()
 
-    def req(self, message: http1.Message, now: float) -> i.Request | response.Response:
+    def parse_request(self, message: http1.Message, now: float) -> i.Request | response.Response:
         """The req that a message asks for, or the answer to one that is not for the module."""
         path = message.target.partition(b"?")[0]
         if path == b"/-/ready":
@@ -433,13 +442,13 @@
             return response.rejected(404)
         if message.method not in http1.METHODS:
             return response.rejected(405)
-        word = message.only(b"x-txn") or b""
-        remaining = message.only(b"x-remaining-ms") or b""
-        route = self.told.routes.get(message.only(b"x-lane") or b"")
-        tenant = self.told.tenants.get(message.only(b"x-org") or b"")
+        word = message.single_value(b"x-txn") or b""
+        remaining = message.single_value(b"x-remaining-ms") or b""
+        route = self.told.routes.get(message.single_value(b"x-lane") or b"")
+        tenant = self.told.tenants.get(message.single_value(b"x-org") or b"")
         unknown = route is None or (tenant is None and self.told.tenants)
         readable = remaining.isdigit() and len(remaining) < 10
-        if unknown or not readable or not self.names(word) or not message.only(b"host"):
+        if unknown or not readable or not self.names(word) or not message.single_value(b"host"):
             return response.rejected(400)
         effect = self.told.facts.routes[route].retry_safety
         if effect == i.RetrySafety.RETRIABLE and (message.method != b"GET" or message.body):
--- a/myrtleroad/net/discovery.py
+++ b/myrtleroad/net/discovery.py
@@ -144,7 +144,8 @@
 
     def fetch_list(self, source: int) -> ListFetched:
         """The whole list, in one call of its own."""
-        sock, answers = None, http1.ResponseParser(most=MAX_LINE_BYTES)  # as long as on a watch's one line
+        # as long as on a watch's one line
+        sock, answers = None, http1.ResponseParser(max_body_bytes=MAX_LINE_BYTES)
         self.counters.add("lists_fetched")
         try:
             with gevent.Timeout(FETCH_TIMEOUT_S, TimeoutError):
@@ -155,9 +156,9 @@
                     if not data:
                         return ListFetched(None, "ended")
                     answers.feed(data)
-            if answers.answer.status != 200:
-                return ListFetched(None, f"status {answers.answer.status}")
-            return ListFetched(self.decode_list(b"".join(answers.answer.body), source))
+            if answers.response.status != 200:
+                return ListFetched(None, f"status {answers.response.status}")
+            return ListFetched(self.decode_list(b"".join(answers.response.body), source))
         except (OSError, http1.HttpError, *DECODE_ERRORS) as error:
             return ListFetched(None, f"{type(error).__name__}: {error}")
         finally:
--- a/myrtleroad/net/exchange_result.py
+++ b/myrtleroad/net/exchange_result.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeFailure:
-    reach: ExchangeProgress
+    progress: ExchangeProgress
     cause: FailureCause
     detail: str = ""
 
@@ -38,7 +38,7 @@
     status: int
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
     body: list[bytes] = field(default_factory=list)
-    keep: bool = True
+    keep_alive: bool = True
 
     def header(self, name: bytes) -> bytes | None:
         return next((v for n, v in self.headers if n.lower() == name), None)
@@ -53,7 +53,7 @@
         return i.Outcome.FULL if away else i.Outcome.ERRORED
     if result.cause in (FailureCause.WITHDRAWN, FailureCause.OVERDUE, FailureCause.SHORT):
         return i.Outcome.MOOT  # not the machine's fault, and never written
-    if result.reach < ExchangeProgress.WRITTEN:
+    if result.progress < ExchangeProgress.WRITTEN:
         # A machine begins a req once its last byte has arrived, and that byte was never written.
         return i.Outcome.NOT_CONNECTED
     if result.cause == FailureCause.TIMEOUT:
--- a/myrtleroad/net/front.py
+++ b/myrtleroad/net/front.py
@@ -50,7 +50,7 @@
         self.client_listener = ClientListener(
             told, self.clock, self.counters, self.log, deliver, self.is_ready
         )
-        self.dispatcher.client_count = lambda: len(self.client_listener.clients)
+        self.dispatcher.client_count = lambda: len(self.client_listener.connections)
         self.stop_event, self.was_ready = Event(), False
         self.front_file, self.config_versions = front_file, None
         if front_file is not None:
@@ -135,9 +135,9 @@
         self.client_listener.stopping = True
         gevent.sleep(LATE_CONNECTIONS_S)
         last = self.clock() + max(r.timeout_ms for r in self.node_config.facts.routes)  # for reqs half come
-        self.client_listener.shut(last)
+        self.client_listener.stop_listening(last)
         while self.dispatcher.open_requests or (
-            self.clock() < last and not all(c.idle for c in self.client_listener.clients)
+            self.clock() < last and not all(c.is_idle for c in self.client_listener.connections)
         ):
             gevent.sleep(0.01)
         self.log_counters()
--- a/myrtleroad/net/http1.py
+++ b/myrtleroad/net/http1.py
@@ -45,25 +45,25 @@
     method: bytes = b""
     target: bytes = b""
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
-    fields: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name; the first of each
+    first_values: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name; the first of each
     repeated: set[bytes] = field(default_factory=set)  # names that came more than once
     body: bytes = b""
-    keep: bool = True
+    keep_alive: bool = True
 
     def add(self, name: bytes, value: bytes) -> None:
         low = name.lower()
         self.headers.append((name, value))
-        if low in self.fields:
+        if low in self.first_values:
             self.repeated.add(low)
         else:
-            self.fields[low] = value
+            self.first_values[low] = value
 
     def header(self, name: bytes) -> bytes | None:
-        return self.fields.get(name)
+        return self.first_values.get(name)
 
-    def only(self, name: bytes) -> bytes | None:
+    def single_value(self, name: bytes) -> bytes | None:
         """The value of a field that may come once: with two, nobody can say which one holds."""
-        return None if name in self.repeated else self.fields.get(name)
+        return None if name in self.repeated else self.first_values.get(name)
 
 
 class RequestParser:
@@ -108,7 +108,7 @@
             except httptools.HttpParserError:
                 if not self.whole:
                     raise HttpError(self.status) from None
-                self.message.keep = False  # noise right behind a chunked body
+                self.message.keep_alive = False  # noise right behind a chunked body
             at += size
         return at
 
@@ -132,7 +132,7 @@
 
     def on_message_begin(self) -> None:
         if self.whole:
-            self.message.keep = (
+            self.message.keep_alive = (
                 False  # a req right behind a chunked one: the answer closes, it may be repeated
             )
 
@@ -182,20 +182,20 @@
     def on_message_complete(self) -> None:
         if not self.whole:
             self.whole = True
-            self.message.keep = self.message.keep and self.parser.should_keep_alive()
+            self.message.keep_alive = self.message.keep_alive and self.parser.should_keep_alive()
 
 
 class ResponseParser:
     """Reads the answers of one connection to a peer: each whole, of ``most`` bytes of body, or as a stream
     whose pieces are taken as they come."""
 
-    def __init__(self, stream: bool = False, most: int = BODY_LIMIT) -> None:
+    def __init__(self, stream: bool = False, max_body_bytes: int = BODY_LIMIT) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.stream, self.most = stream, most
+        self.stream, self.max_body_bytes = stream, max_body_bytes
         self.reset()
 
     def reset(self) -> None:
-        self.answer, self.complete, self.in_head = UpstreamResponse(0), False, True
+        self.response, self.complete, self.in_head = UpstreamResponse(0), False, True
         self.size, self.held = 0, 0  # bytes of the head, 1xx answers ahead of it included; of the body
 
     def feed(self, data: memoryview) -> None:
@@ -208,22 +208,22 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self.complete:
                 raise HttpError(502) from None
-            self.answer.keep = False
+            self.response.keep_alive = False
         if self.in_head and self.size > HEAD_LIMIT:
             raise HttpError(502)  # a head without end
 
     def on_message_begin(self) -> None:
         if self.complete:
-            self.answer.keep = False
+            self.response.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self.complete and self.in_head:
-            self.answer.headers.append((name, value))
+            self.response.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         if self.complete:
             return
-        answer = self.answer
+        answer = self.response
         answer.status = status = self.parser.get_status_code()
         if 100 <= status < 200 and status != 101:
             return
@@ -233,24 +233,24 @@
         framed = length is not None or status in (204, 304)
         if not 200 <= status < 600 or not (framed if coding is None else coding.lower() == b"chunked"):
             raise HttpError(502)
-        if length is not None and int(length) > self.most:
+        if length is not None and int(length) > self.max_body_bytes:
             raise HttpError(502)
 
     def on_body(self, data: bytes) -> None:
         if self.complete:
             return
         self.held += len(data)
-        if self.held > self.most and not self.stream:
+        if self.held > self.max_body_bytes and not self.stream:
             raise HttpError(502)
-        self.answer.body.append(data)
+        self.response.body.append(data)
 
     def on_message_complete(self) -> None:
         if self.complete:
             return
         if self.in_head:
-            self.answer = UpstreamResponse(0)  # a 1xx answer ahead of the one that counts
+            self.response = UpstreamResponse(0)  # a 1xx answer ahead of the one that counts
             return
-        self.answer.keep = self.answer.keep and self.parser.should_keep_alive()
+        self.response.keep_alive = self.response.keep_alive and self.parser.should_keep_alive()
         self.complete = True
 
 
--- a/myrtleroad/net/operator_limits.py
+++ b/myrtleroad/net/operator_limits.py
@@ -72,6 +72,6 @@
         if changed:
             self.dispatcher.post_update(listing)
         self.dispatcher.apply_updates()
-        self.client_listener.bind(
+        self.client_listener.apply_limits(
             event.settings, held.networks, self.request_limits if bounds is not None else None
         )
--- a/myrtleroad/net/platform.py
+++ b/myrtleroad/net/platform.py
@@ -46,7 +46,7 @@
     if isinstance(result, ExchangeFailure):
         # Never carried out where its last byte was not written, as if the platform had been in error.
         return unanswered_vote(
-            i.Outcome.ERRORED if result.reach < ExchangeProgress.WRITTEN else i.Outcome.TIMEOUT
+            i.Outcome.ERRORED if result.progress < ExchangeProgress.WRITTEN else i.Outcome.TIMEOUT
         )
     try:
         root = ET.fromstring(b"".join(result.body))
@@ -64,7 +64,7 @@
 def describe_result(result: UpstreamResponse | ExchangeFailure) -> str:
     """What came of a vote, for the log."""
     if isinstance(result, ExchangeFailure):
-        return f"{result.reach.name} {result.cause} {result.detail}"
+        return f"{result.progress.name} {result.cause} {result.detail}"
     return f"{result.status} {b''.join(result.body)[:200].decode('latin-1')}"
 
 
@@ -150,7 +150,7 @@
                         return ExchangeFailure(reach, FailureCause.ENDED)
                     reach = ExchangeProgress.BEGUN
                     answers.feed(data)
-            return answers.answer
+            return answers.response
         except (OSError, http1.HttpError) as error:
             cause = FailureCause.TIMEOUT if isinstance(error, TimeoutError) else FailureCause.ENDED
             return ExchangeFailure(reach, cause, str(error))
--- a/myrtleroad/net/stream.py
+++ b/myrtleroad/net/stream.py
@@ -112,9 +112,9 @@
 
     def feed(self, data: memoryview | bytes) -> None:
         self.parser.feed(data)
-        if self.parser.answer.status not in (0, 200):
-            raise http1.HttpError(self.parser.answer.status)
-        chunks, self.parser.answer.body = self.parser.answer.body, []
+        if self.parser.response.status not in (0, 200):
+            raise http1.HttpError(self.parser.response.status)
+        chunks, self.parser.response.body = self.parser.response.body, []
         self.split_lines(b"".join(chunks))
 
     def read_now(self) -> bool:
--- a/myrtleroad/net/upstream_server.py
+++ b/myrtleroad/net/upstream_server.py
@@ -230,7 +230,7 @@
             else:
                 link = opened
                 result = self.exchange(job, link)
-                whole = isinstance(result, UpstreamResponse) and result.keep
+                whole = isinstance(result, UpstreamResponse) and result.keep_alive
                 kept = link if whole or result in (NOT_SENT, DEADLINE_PASSED) else None
         finally:
             if link is not None and kept is None:
@@ -303,7 +303,7 @@
                     return ExchangeFailure(reach, FailureCause.ENDED)
                 reach = ExchangeProgress.BEGUN
                 answers.feed(data)
-            return answers.answer
+            return answers.response
         except TimeoutError:
             return ExchangeFailure(reach, FailureCause.TIMEOUT)
         except http1.HttpError:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -56,7 +56,7 @@
         self.number += 1
         ident = self.number
         rq = i.Request(ident, route, 0, None, self.now - age + within, 0.0, False)
-        message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"%d" % ident})
+        message = dispatcher.Message(b"GET", b"/api", first_values={b"x-txn": b"%d" % ident})
         self.ends_at[ident], self.answers[ident] = rq.deadline, []
 
         def answer(final):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -5,7 +5,7 @@
 import gevent
 import pytest
 from conftest import build_node_config, discovery_entry
-from test_door import GOOD, build_door, client, status
+from test_client_listener import VALID_REQUEST, connect, read_status, start_listener
 from test_front import AT, balanced, build_brain, ends, sent, taken
 
 from myrtleroad import interface as i
@@ -21,7 +21,7 @@
 def flood(b, n):
     """Reqs that wait to be taken."""
     for x in range(n):
-        message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"w%d" % x})
+        message = dispatcher.Message(b"GET", b"/api", first_values={b"x-txn": b"w%d" % x})
         rq = i.Request(x + 10, 0, 0, None, b.clock() + 5000.0, 0.0, False)
         b.mailbox.put(dispatcher.RequestReceived(rq, message, b.clock(), lambda final: None))
 
@@ -58,11 +58,11 @@
 
 
 def test_a_fault_while_a_req_is_read_is_told_to_its_client(monkeypatch):
-    d, waiting = build_door()
-    monkeypatch.setattr(d, "req", lambda *args: 1 / 0)
-    sock = client(d)
-    sock.sendall(GOOD)
-    code, head, _ = status(sock)
+    d, waiting = start_listener()
+    monkeypatch.setattr(d, "parse_request", lambda *args: 1 / 0)
+    sock = connect(d)
+    sock.sendall(VALID_REQUEST)
+    code, head, _ = read_status(sock)
     assert code == 500 and b"Connection: close" in head and sock.recv(1) == b""
     assert waiting.empty()
 
@@ -95,16 +95,16 @@
 def held_loop(d, clients_of, ms):
     """These clients ask, and the loop is held before anything of it is read."""
     for sock in clients_of:
-        sock.sendall(GOOD)
+        sock.sendall(VALID_REQUEST)
     time.sleep(ms / 1000)
 
 
 def test_what_a_req_waited_unread_is_taken_off_its_time():
-    d, waiting = build_door()
-    kept, fresh = client(d), client(d)
-    kept.sendall(GOOD)
+    d, waiting = start_listener()
+    kept, fresh = connect(d), connect(d)
+    kept.sendall(VALID_REQUEST)
     waiting.get().respond(response.shed(0.0))
-    assert status(kept)[0] == 503
+    assert read_status(kept)[0] == 503
     gevent.sleep(0.01)
     before = d.clock()
     held_loop(d, [kept, fresh], 100.0)
@@ -117,37 +117,37 @@
 
 
 def test_a_req_whose_time_is_over_before_it_is_read_is_refused_at_once_and_says_so():
-    d, waiting = build_door()
-    lines, sock = [], client(d)
-    d.early = lambda event, now, **fields: lines.append((event, fields["txn"], fields["why"]))
+    d, waiting = start_listener()
+    lines, sock = [], connect(d)
+    d.unread_warnings = lambda event, now, **fields: lines.append((event, fields["txn"], fields["why"]))
     gevent.sleep(0.01)
     held_loop(d, [sock], 60.0)
-    short, late = client(d), GOOD.replace(b"480", b"50").replace(b"X-Txn: 1", b"X-Txn: 2")
+    short, late = connect(d), VALID_REQUEST.replace(b"480", b"50").replace(b"X-Txn: 1", b"X-Txn: 2")
     short.sendall(late)
     time.sleep(0.06)
-    code, head, _ = status(short)
+    code, head, _ = read_status(short)
     assert code == 503 and b"Retry-After: 0.500" in head
     assert lines == [("req refused unread", "2", "OVER")]
     assert waiting.get().request.id and waiting.empty()  # the other one had time left
 
 
 def test_a_hundred_reqs_beyond_all_descriptors_are_refused_at_once_and_those_held_answered():
-    d, waiting = build_door(sockets=30)  # three clients' worth
-    held = [client(d) for _ in range(3)]
+    d, waiting = start_listener(sockets=30)  # three clients' worth
+    held = [connect(d) for _ in range(3)]
     for n, sock in enumerate(held):
-        sock.sendall(GOOD.replace(b"X-Txn: 1", b"X-Txn: h%d" % n))
+        sock.sendall(VALID_REQUEST.replace(b"X-Txn: 1", b"X-Txn: h%d" % n))
     messages = [waiting.get() for _ in held]
     more = []
     for _ in range(100):
-        more.append(client(d))
-        more[-1].sendall(GOOD)
+        more.append(connect(d))
+        more[-1].sendall(VALID_REQUEST)
     for sock in more:
-        code, head, _ = status(sock)
+        code, head, _ = read_status(sock)
         assert code == 503 and b"Connection: close" in head and b"Retry-After" in head
-    assert waiting.empty() and len(d.clients) <= d.most + d.BRIEF
+    assert waiting.empty() and len(d.connections) <= d.max_connections + d.EXTRA_CONNECTIONS
     for message in messages:
         message.respond(response.bad_gateway())
-    assert [status(sock)[0] for sock in held] == [502] * 3
+    assert [read_status(sock)[0] for sock in held] == [502] * 3
     assert d.counters.counts["reqs_full"] == 100
 
 
--- a/tests/test_answers_faults.py
+++ b/tests/test_answers_faults.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from test_answers import flood, held_loop
-from test_door import GOOD, build_door, client, status
+from test_client_listener import VALID_REQUEST, connect, read_status, start_listener
 from test_front import AT, balanced, build_brain, ends, sent, taken
 
 from myrtleroad import interface as i
@@ -66,34 +66,34 @@
     answers = []
     rq, message = (
         i.Request(1, 0, 0, None, b.clock() + 900.0, 0.0, False),
-        dispatcher.Message(fields={b"x-txn": b"1"}),
+        dispatcher.Message(first_values={b"x-txn": b"1"}),
     )
     b.handle(dispatcher.RequestReceived(rq, message, b.clock(), answers.append))
     assert [a.status for a in answers] == [502] and not b.open_requests
 
 
 def test_a_fault_in_a_reader_leaves_the_held_req_its_answer(monkeypatch):
-    d, waiting = build_door()
-    sock = client(d)
-    sock.sendall(GOOD)
+    d, waiting = start_listener()
+    sock = connect(d)
+    sock.sendall(VALID_REQUEST)
     message = waiting.get()
-    (held,) = d.clients
-    monkeypatch.setattr(type(held), "awaited", lambda self: 1 / 0)
+    (held,) = d.connections
+    monkeypatch.setattr(type(held), "wait_for_response", lambda self: 1 / 0)
     sock.sendall(b"more")
     while not d.counters.counts["faults"]:
         gevent.sleep(0.001)
     message.respond(response.bad_gateway())
-    assert status(sock)[0] == 502 and waiting.empty()
+    assert read_status(sock)[0] == 502 and waiting.empty()
 
 
 def test_a_second_answer_to_one_req_is_not_written():
-    d, waiting = build_door()
-    sock = client(d)
-    sock.sendall(GOOD)
+    d, waiting = start_listener()
+    sock = connect(d)
+    sock.sendall(VALID_REQUEST)
     message = waiting.get()
     message.respond(response.bad_gateway())
     message.respond(response.shed(0.0))
-    assert status(sock)[0] == 502
+    assert read_status(sock)[0] == 502
     sock.settimeout(0.02)
     with pytest.raises(socket.timeout):
         sock.recv(1)
@@ -110,9 +110,9 @@
 
 
 def test_a_crowd_that_waits_is_refused_and_the_front_serves_again_after_it():
-    d, waiting = build_door()
-    d.entry.target_ms = 10.0
-    socks = [client(d) for _ in range(30)]
+    d, waiting = start_listener()
+    d.admission.target_ms = 10.0
+    socks = [connect(d) for _ in range(30)]
     gevent.sleep(0.01)
     took = 0
     for _ in range(3):
@@ -121,10 +121,10 @@
         while waiting.qsize():
             waiting.get().respond(response.shed(0.0))
             took += 1
-        assert {status(sock)[0] for sock in socks} == {503}
+        assert {read_status(sock)[0] for sock in socks} == {503}
     assert took == 30 and d.counters.counts["reqs_unread_standing"] == 60
     gevent.sleep(0.02)
-    socks[0].sendall(GOOD)
+    socks[0].sendall(VALID_REQUEST)
     assert waiting.get().read_delay_ms < 10.0
 
 
@@ -133,7 +133,7 @@
     answers = []
     rq, message = (
         i.Request(1, 0, 0, None, b.clock() + 30.0, 0.0, False),
-        dispatcher.Message(fields={b"x-txn": b"1"}),
+        dispatcher.Message(first_values={b"x-txn": b"1"}),
     )
     b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 40.0, answers.append, 20.0))
     assert not answers  # it has time left, and one wait is no standing queue
@@ -144,27 +144,27 @@
 
 
 def test_an_answer_longer_than_the_buffers_is_written_whole_to_a_slow_reader():
-    d, waiting = build_door()
-    sock = client(d)
-    sock.sendall(GOOD)
+    d, waiting = start_listener()
+    sock = connect(d)
+    sock.sendall(VALID_REQUEST)
     message = waiting.get()
-    (held,) = d.clients
+    (held,) = d.connections
     held.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     body = b"x" * 400_000
     message.respond(response.completed(UpstreamResponse(200, [], [body])))
-    assert held.written is not None
-    code, _, got = status(sock)
+    assert held.write_started_at is not None
+    code, _, got = read_status(sock)
     assert code == 200 and got == body
 
 
 def test_an_answer_that_cannot_be_made_ends_its_connection_without_one(monkeypatch):
-    d, waiting = build_door()
-    sock = client(d)
-    sock.sendall(GOOD)
+    d, waiting = start_listener()
+    sock = connect(d)
+    sock.sendall(VALID_REQUEST)
     final = response.completed(UpstreamResponse(200))
     monkeypatch.setattr(final, "status", 9999)
     waiting.get().respond(final)
-    assert status(sock)[0] == 502 and d.counters.counts["faults"] == 1
+    assert read_status(sock)[0] == 502 and d.counters.counts["faults"] == 1
     assert sock.recv(1) == b""
-    while d.clients:
+    while d.connections:
         gevent.sleep(0.001)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -37,7 +37,7 @@
 def taken(b, ident=1, route=0, within=1000.0, word=None):
     answers = []
     rq = i.Request(ident, route, 0, None, b.clock() + within, 0.0, False)
-    message = Message(b"GET", b"/api", fields={b"x-txn": word or b"a%d" % ident})
+    message = Message(b"GET", b"/api", first_values={b"x-txn": word or b"a%d" % ident})
     b.process(dispatcher.RequestReceived(rq, message, b.clock(), answers.append), b.clock())
     return answers
 
--- a/tests/test_head.py
+++ b/tests/test_http1.py
@@ -89,14 +89,14 @@
 def test_what_trails_a_chunked_body_is_no_header_and_a_req_behind_it_ends_the_connection():
     chunked = b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\na\r\n" * 3000
     (message,) = fed(chunked + b"0\r\nX-Txn: 7\r\n\r\n")
-    assert message.body == b"a" * 3000 and message.header(b"x-txn") is None and message.keep
+    assert message.body == b"a" * 3000 and message.header(b"x-txn") is None and message.keep_alive
     (first,) = fed(chunked + b"0\r\n\r\n" + REQ)
-    assert first.body == b"a" * 3000 and not first.keep
+    assert first.body == b"a" * 3000 and not first.keep_alive
 
 
 def test_a_field_that_came_twice_is_told_apart():
     (message,) = fed(b"GET /api HTTP/1.1\r\nX-Txn: 1\r\nx-txn: 2\r\nHost: h\r\n\r\n")
-    assert message.only(b"x-txn") is None and message.only(b"host") == b"h"
+    assert message.single_value(b"x-txn") is None and message.single_value(b"host") == b"h"
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -115,8 +115,12 @@
 def test_1xx_answers_ahead_are_skipped(ahead):
     for chunks in ([ahead + OK], [ahead, OK]):
         reader = answered(*chunks)
-        assert reader.complete and reader.answer.keep
-        assert (reader.answer.status, reader.answer.body, len(reader.answer.headers)) == (200, [b"hi"], 1)
+        assert reader.complete and reader.response.keep_alive
+        assert (reader.response.status, reader.response.body, len(reader.response.headers)) == (
+            200,
+            [b"hi"],
+            1,
+        )
     assert not answered(ahead).complete
 
 
@@ -124,8 +128,8 @@
 def test_what_comes_behind_a_whole_answer_is_no_part_of_it(behind):
     # Guards against a second copy taking the place of the answer, or noise making it a failure.
     reader = answered(OK + behind)
-    assert reader.complete and not reader.answer.keep
-    assert (reader.answer.status, reader.answer.body) == (200, [b"hi"])
+    assert reader.complete and not reader.response.keep_alive
+    assert (reader.response.status, reader.response.body) == (200, [b"hi"])
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lists_first.py
+++ b/tests/test_lists_first.py
@@ -346,7 +346,9 @@
     for n in range(1000):
         rq = i.Request(n, 0, 0, None, b.clock() + 1000.0, 0.0, False)
         b.mailbox.put(
-            dispatcher.RequestReceived(rq, Message(fields={b"x-txn": b"%d" % n}), b.clock(), answers.append)
+            dispatcher.RequestReceived(
+                rq, Message(first_values={b"x-txn": b"%d" % n}), b.clock(), answers.append
+            )
         )
     m = {
         "generation": 8,
