--- a/myrtleroad/net/http1.py
+++ b/myrtleroad/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 heads: parsed in place by httptools, written by gathered writes."""
+"""HTTP/1.1 messages: parsed by httptools without copying, written by gathered writes (sendmsg)."""
 
 import errno
 import math
@@ -11,28 +11,28 @@
 
 from myrtleroad.net.exchange_result import UpstreamResponse
 
-# One buffer for every connection: bytes are parsed as soon as they are read, with no switch between.
+# One receive buffer for all connections: bytes are parsed as soon as they are read, without a greenlet switch
+# in between.
 BUFFER = bytearray(64 * 1024)
 BUFFER_VIEW = memoryview(BUFFER)
-HEAD_LIMIT = 16 * 1024  # what common servers allow
-BODY_LIMIT = 64 * 1024  # the protocol's
+MAX_HEAD_BYTES = 16 * 1024  # as common servers allow
+MAX_BODY_BYTES = 64 * 1024  # the protocol's limit
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))
-HOP_BY_HOP = frozenset(  # what belongs to one connection
+HOP_BY_HOP = frozenset(  # headers that hold for one connection only
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect".split(b" ")
 )
-CONTENT_LENGTH = b"content-length"  # written anew
+CONTENT_LENGTH = b"content-length"  # replaced when a message is forwarded
 TRANSFER_ENCODING = b"transfer-encoding"
-HEAD_END = b"\r\n\r\n"  # of a head
-TRANSIENT_ERRNOS = frozenset(
-    (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM)
-)  # the connection stands all the same
-RETRY_DELAY_S = 0.01  # before the next try of a call that failed so
+HEAD_END = b"\r\n\r\n"
+# A system call may succeed after these errors; the connection is still usable.
+TRANSIENT_ERRNOS = frozenset((errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM))
+RETRY_DELAY_S = 0.01  # before a system call that failed with one of them is repeated
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class HttpError(Exception):
-    """What came cannot be read as a req or an answer; ``status`` is what a client is told. It stops at
-    the connection."""
+    """The received bytes are no valid request or response; ``status`` is the status for the client. Handled
+    by the owner of the connection."""
 
     def __init__(self, status: int):
         self.status = status
@@ -40,179 +40,191 @@
 
 @dataclass(slots=True)
 class Message:
-    """One req as it came."""
+    """One request as received."""
 
     method: bytes = b""
     target: bytes = b""
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
-    first_values: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name; the first of each
-    repeated: set[bytes] = field(default_factory=set)  # names that came more than once
+    first_values: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name
+    repeated: set[bytes] = field(default_factory=set)  # lower-case names of headers that came more than once
     body: bytes = b""
     keep_alive: bool = True
 
-    def add(self, name: bytes, value: bytes) -> None:
-        low = name.lower()
+    def add_header(self, name: bytes, value: bytes) -> None:
+        """Adds a header as received; of several with one name, ``header`` returns the first."""
+        lower_name = name.lower()
         self.headers.append((name, value))
-        if low in self.first_values:
-            self.repeated.add(low)
+        if lower_name in self.first_values:
+            self.repeated.add(lower_name)
         else:
-            self.first_values[low] = value
+            self.first_values[lower_name] = value
 
     def header(self, name: bytes) -> bytes | None:
+        """Returns the first value of a header by its lower-case name."""
         return self.first_values.get(name)
 
     def single_value(self, name: bytes) -> bytes | None:
-        """The value of a field that may come once: with two, nobody can say which one holds."""
+        """Returns the value of a header that may come only once; None if it came more often, as then it is
+        not defined which value holds."""
         return None if name in self.repeated else self.first_values.get(name)
 
 
 class RequestParser:
-    """Reads reqs from the bytes of one client connection, one at a time."""
+    """Parses requests from the bytes of one client connection, one at a time."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
-        self.fresh()
+        self.reset()
 
-    def fresh(self) -> None:
-        self.message, self.pieces = Message(), []
-        self.in_head, self.whole = True, False
-        self.expects = False  # the client waits for our word before it sends the body
-        self.tail = b""  # the last bytes of a head that has not ended, as its end may be split
-        self.size, self.held, self.left = 0, 0, 0  # bytes of the head; of the body; of it still to come
-        self.status = 400  # what a fault in the bytes is answered with
+    def reset(self) -> None:
+        """Prepares for the next request."""
+        self.message, self.body_chunks = Message(), []
+        self.in_head, self.complete = True, False
+        self.expects_continue = False  # the client waits for status 100 before it sends the body
+        self.head_tail = b""  # the last bytes of an incomplete head, as HEAD_END may come in two reads
+        self.head_bytes, self.body_bytes, self.remaining_body_bytes = 0, 0, 0
+        self.error_status = 400  # for the client if the parser fails
 
     @property
-    def begun(self) -> bool:
-        return self.size > 0
+    def started(self) -> bool:
+        """Whether any byte of the current request has been parsed."""
+        return self.head_bytes > 0
 
-    def take(self) -> Message:
-        """The req that is whole; the next one begins."""
+    def take_message(self) -> Message:
+        """Returns the complete request and prepares for the next one."""
         message = self.message
-        message.body = b"".join(self.pieces)
-        self.fresh()
+        message.body = b"".join(self.body_chunks)
+        self.reset()
         return message
 
     def feed(self, data: memoryview | bytes) -> int:
-        """Reads on, to the end of one req at most, and says how many bytes that took. Raises Unfit once
-        framing is lost."""
-        at = 0
-        while at < len(data) and not self.whole:
-            size = self.span(data[at:])
+        """Parses to the end of one request at most and returns how many bytes that took. Raises HttpError if
+        the request is invalid or too large; no further request can be found on the connection then."""
+        position = 0
+        while position < len(data) and not self.complete:
+            size = self.parsable_bytes(data[position:])
             try:
-                self.parser.feed_data(data[at : at + size])
+                self.parser.feed_data(data[position : position + size])
             except httptools.HttpParserUpgrade:
-                # An offer of another protocol may be passed over (RFC 9110, 7.8); this parser has ended.
-                if not self.whole:
+                # An offered upgrade may be ignored (RFC 9110, 7.8), but this parser cannot be used any more.
+                if not self.complete:
                     raise HttpError(400) from None
                 self.parser = httptools.HttpRequestParser(self)
             except httptools.HttpParserError:
-                if not self.whole:
-                    raise HttpError(self.status) from None
-                self.message.keep_alive = False  # noise right behind a chunked body
-            at += size
-        return at
-
-    def span(self, data: memoryview | bytes) -> int:
-        """How many of these bytes may be parsed without reading past the end of this req. Guards against
-        a client that sends hundreds at once: what waits is bytes, bounded by one read."""
+                if not self.complete:
+                    raise HttpError(self.error_status) from None
+                self.message.keep_alive = False  # invalid bytes right after a chunked body
+            position += size
+        return position
+
+    def parsable_bytes(self, data: memoryview | bytes) -> int:
+        """Returns how many bytes of the data can be parsed without reading past the end of this request.
+        Guards against a client that sends hundreds of requests at once: they wait as bytes, at most one read
+        of them, not as parsed requests."""
         if self.in_head:
-            seen = self.tail + bytes(data[:HEAD_LIMIT])
-            end = seen.find(HEAD_END)
-            size = (end + len(HEAD_END) if end >= 0 else len(seen)) - len(self.tail)
-            self.tail = b"" if end >= 0 else seen[1 - len(HEAD_END) :]
-            self.size += size
-            if self.size > HEAD_LIMIT:
+            head = self.head_tail + bytes(data[:MAX_HEAD_BYTES])
+            end = head.find(HEAD_END)
+            size = (end + len(HEAD_END) if end >= 0 else len(head)) - len(self.head_tail)
+            self.head_tail = b"" if end >= 0 else head[1 - len(HEAD_END) :]
+            self.head_bytes += size
+            if self.head_bytes > MAX_HEAD_BYTES:
                 raise HttpError(431)
             return size
-        if self.left:
-            size = min(self.left, len(data))
-            self.left -= size
+        if self.remaining_body_bytes:
+            size = min(self.remaining_body_bytes, len(data))
+            self.remaining_body_bytes -= size
             return size
-        return len(data)  # chunked: only the parser knows its end; see on_message_begin
+        return len(data)  # a chunked body: only the parser finds its end; see on_message_begin
 
     def on_message_begin(self) -> None:
-        if self.whole:
-            self.message.keep_alive = (
-                False  # a req right behind a chunked one: the answer closes, it may be repeated
-            )
+        """Called by httptools, as the other ``on_`` methods."""
+        if self.complete:
+            # Another request right after a chunked one. It is discarded: the response closes the connection,
+            # and the client may send it again.
+            self.message.keep_alive = False
 
     def on_url(self, url: bytes) -> None:
-        if not self.whole:
+        if not self.complete:
             self.message.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.in_head:  # what trails a chunked body is not the head's to hold
-            self.message.add(name, value)
+        if self.in_head:  # trailers of a chunked body do not count as headers
+            self.message.add_header(name, value)
 
     def on_headers_complete(self) -> None:
-        if self.whole:
+        if self.complete:
             return
         message, self.in_head = self.message, False
         message.method = self.parser.get_method()
         if self.parser.get_http_version() not in ("1.0", "1.1"):
-            self.fail(505)
+            self.reject(505)
         length, coding = message.header(CONTENT_LENGTH), message.header(TRANSFER_ENCODING)
         if coding is not None and (coding.lower() != b"chunked" or TRANSFER_ENCODING in message.repeated):
-            self.fail(501)  # the body would go on in a coding that nobody undoes
+            self.reject(501)  # the body would be forwarded in a coding that is not decoded here
         if coding is not None and length is not None:
-            self.fail(400)  # one of the two hides another req (RFC 9112, 6.1); the parser refuses it too
+            # One of the two may hide another request (RFC 9112, 6.1); the parser refuses it too.
+            self.reject(400)
         if length is not None:
             if not length.isdigit() or len(length) > 19 or CONTENT_LENGTH in message.repeated:
-                self.fail(400)
-            self.left = int(length)
-            if self.left > BODY_LIMIT:
-                self.fail(413)
+                self.reject(400)
+            self.remaining_body_bytes = int(length)
+            if self.remaining_body_bytes > MAX_BODY_BYTES:
+                self.reject(413)
         expect = message.header(b"expect")
         if expect is not None and expect.lower() != b"100-continue":
-            self.fail(417)
-        self.expects = expect is not None and (coding is not None or self.left > 0)
+            self.reject(417)
+        self.expects_continue = expect is not None and (coding is not None or self.remaining_body_bytes > 0)
 
-    def fail(self, status: int) -> None:
-        self.status = status
+    def reject(self, status: int) -> None:
+        """Raises HttpError with this status; ``feed`` raises it again should httptools wrap the error."""
+        self.error_status = status
         raise HttpError(status)
 
     def on_body(self, data: bytes) -> None:
-        if self.whole:
+        if self.complete:
             return
-        self.held += len(data)
-        if self.held > BODY_LIMIT:
-            self.fail(413)
-        self.pieces.append(data)
+        self.body_bytes += len(data)
+        if self.body_bytes > MAX_BODY_BYTES:
+            self.reject(413)
+        self.body_chunks.append(data)
 
     def on_message_complete(self) -> None:
-        if not self.whole:
-            self.whole = True
+        if not self.complete:
+            self.complete = True
             self.message.keep_alive = self.message.keep_alive and self.parser.should_keep_alive()
 
 
 class ResponseParser:
-    """Reads the answers of one connection to a peer: each whole, of ``most`` bytes of body, or as a stream
-    whose pieces are taken as they come."""
+    """Parses the responses on one connection to a peer. A body has at most ``max_body_bytes`` bytes; with
+    ``stream``, a chunked body has no limit, and the caller removes its chunks from ``response.body`` as they
+    come."""
 
-    def __init__(self, stream: bool = False, max_body_bytes: int = BODY_LIMIT) -> None:
+    def __init__(self, stream: bool = False, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.stream, self.max_body_bytes = stream, max_body_bytes
         self.reset()
 
     def reset(self) -> None:
+        """Prepares for the next response."""
         self.response, self.complete, self.in_head = UpstreamResponse(0), False, True
-        self.size, self.held = 0, 0  # bytes of the head, 1xx answers ahead of it included; of the body
+        self.head_bytes, self.body_bytes = 0, 0  # the head's with those of 1xx responses before it
 
     def feed(self, data: memoryview) -> None:
-        """Raises Unfit where the answer cannot be read. What comes behind a whole one is no part of it: the
-        answer stands as it is, and its connection is of no further use."""
+        """Parses received bytes. Raises HttpError if they are no valid response. Bytes after a complete
+        response are ignored and only end the use of its connection."""
         if self.in_head:
-            self.size += len(data)
+            self.head_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self.complete:
                 raise HttpError(502) from None
             self.response.keep_alive = False
-        if self.in_head and self.size > HEAD_LIMIT:
-            raise HttpError(502)  # a head without end
+        if self.in_head and self.head_bytes > MAX_HEAD_BYTES:
+            raise HttpError(502)  # the head is too long
 
     def on_message_begin(self) -> None:
+        """Called by httptools, as the other ``on_`` methods."""
         if self.complete:
             self.response.keep_alive = False
 
@@ -223,15 +235,16 @@
     def on_headers_complete(self) -> None:
         if self.complete:
             return
-        answer = self.response
-        answer.status = status = self.parser.get_status_code()
+        response = self.response
+        response.status = status = self.parser.get_status_code()
         if 100 <= status < 200 and status != 101:
             return
         self.in_head = False
-        coding, length = answer.header(TRANSFER_ENCODING), answer.header(CONTENT_LENGTH)
-        # Not framed is framed by its close (RFC 9112, 6.3): cut short it would look whole, so it is not read.
-        framed = length is not None or status in (204, 304)
-        if not 200 <= status < 600 or not (framed if coding is None else coding.lower() == b"chunked"):
+        coding, length = response.header(TRANSFER_ENCODING), response.header(CONTENT_LENGTH)
+        # Without framing a response ends when its connection closes (RFC 9112, 6.3). Cut short it would look
+        # complete, so it is refused.
+        has_length = length is not None or status in (204, 304)
+        if not 200 <= status < 600 or not (has_length if coding is None else coding.lower() == b"chunked"):
             raise HttpError(502)
         if length is not None and int(length) > self.max_body_bytes:
             raise HttpError(502)
@@ -239,8 +252,8 @@
     def on_body(self, data: bytes) -> None:
         if self.complete:
             return
-        self.held += len(data)
-        if self.held > self.max_body_bytes and not self.stream:
+        self.body_bytes += len(data)
+        if self.body_bytes > self.max_body_bytes and not self.stream:
             raise HttpError(502)
         self.response.body.append(data)
 
@@ -248,18 +261,19 @@
         if self.complete:
             return
         if self.in_head:
-            self.response = UpstreamResponse(0)  # a 1xx answer ahead of the one that counts
+            self.response = UpstreamResponse(0)  # this was a 1xx response; the final one follows
             return
         self.response.keep_alive = self.response.keep_alive and self.parser.should_keep_alive()
         self.complete = True
 
 
 def forwarded_request(message: Message, remaining_ms: int) -> list[bytes]:
-    """The parts of a req as it goes on to a machine: unchanged but for framing and the time left."""
+    """Returns the bytes of a request as forwarded to a server: unchanged except for its framing and
+    X-Remaining-Ms."""
     parts = [message.method, b" ", message.target, b" HTTP/1.1\r\n"]
     for name, value in message.headers:
-        low = name.lower()
-        if low not in HOP_BY_HOP and low not in (CONTENT_LENGTH, b"x-remaining-ms"):
+        lower_name = name.lower()
+        if lower_name not in HOP_BY_HOP and lower_name not in (CONTENT_LENGTH, b"x-remaining-ms"):
             parts += (name, b": ", value, b"\r\n")
     parts.append(b"X-Remaining-Ms: %d\r\n" % remaining_ms)
     if message.body or message.method != b"GET":
@@ -268,12 +282,13 @@
     return [b"".join(parts), message.body]
 
 
-def host_header(at: tuple[str, int]) -> str:
-    return f"{at[0]}:{at[1]}"
+def host_header(address: tuple[str, int]) -> str:
+    """Returns the value of the Host header for an address."""
+    return f"{address[0]}:{address[1]}"
 
 
 def request_parts(method: str, target: str, host: str, body: bytes = b"") -> list[bytes]:
-    """A call of our own on discovery or the platform."""
+    """Returns the bytes of a request that the front itself makes, to discovery or the platform."""
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n"
     if body:
         head += f"Content-Type: application/x-www-form-urlencoded\r\nContent-Length: {len(body)}\r\n"
@@ -281,15 +296,15 @@
 
 
 def send(sock: socket.socket, parts: list[bytes]) -> None:
-    """One gathered write, and what the system did not take of it after that."""
+    """Writes all parts: one gathered write, then what the system did not take of it."""
     sent = sock.sendmsg(parts)
-    left = sum(map(len, parts)) - sent
-    if left:
+    unsent_bytes = sum(map(len, parts)) - sent
+    if unsent_bytes:
         sock.sendall(b"".join(parts)[sent:])
 
 
 def send_nowait(sock: socket.socket, parts: list[bytes]) -> bytes:
-    """One gathered write that never waits; what the system did not take of it."""
+    """Makes one gathered write that never waits; returns the bytes that the system did not take."""
     try:
         sent = sock.sendmsg(parts, (), socket.MSG_DONTWAIT)
     except OSError as error:
@@ -299,37 +314,39 @@
     return b"".join(parts)[sent:] if sent < sum(map(len, parts)) else b""
 
 
-def send_all(sock: socket.socket, data: bytes, within_s: float = math.inf) -> None:
-    """Writes everything, as the system has buffers for it. Raises TimeoutError past ``within_s``."""
-    end = time.monotonic() + within_s
+def send_all(sock: socket.socket, data: bytes, timeout_s: float = math.inf) -> None:
+    """Writes all data, retrying while the system lacks buffers. Raises TimeoutError after ``timeout_s``."""
+    deadline = time.monotonic() + timeout_s
     while data:
         try:
             data = data[sock.send(data) :]
         except OSError as error:
             if error.errno not in TRANSIENT_ERRNOS:
                 raise
-            if time.monotonic() >= end:
+            if time.monotonic() >= deadline:
                 raise TimeoutError("timed out") from None
             gevent.sleep(RETRY_DELAY_S)
 
 
 def receive(sock: socket.socket) -> memoryview:
-    """The next bytes, to be parsed at once; empty at the end. Raises TimeoutError of the socket."""
-    wait = sock.gettimeout()
-    end = None if wait is None else time.monotonic() + wait
+    """Waits for bytes and returns them, empty once the peer has closed. The result is a view of a shared
+    buffer and valid until the next greenlet switch. Raises TimeoutError after the socket's timeout."""
+    timeout_s = sock.gettimeout()
+    deadline = None if timeout_s is None else time.monotonic() + timeout_s
     while True:
         try:
             return BUFFER_VIEW[: sock.recv_into(BUFFER)]
         except OSError as error:
-            if error.errno not in TRANSIENT_ERRNOS or (end is not None and time.monotonic() >= end):
+            if error.errno not in TRANSIENT_ERRNOS or (deadline is not None and time.monotonic() >= deadline):
                 raise
             gevent.sleep(RETRY_DELAY_S)
 
 
 def peek(sock: socket.socket) -> bytes | None:
-    """What waits on an idle connection, without waiting: None is nothing, empty that it has ended."""
-    # A gevent socket waits for bytes even where MSG_DONTWAIT is asked for; without a timeout it does not.
-    wait = sock.gettimeout()
+    """Returns the first unread byte without removing it and without waiting: None if there is none, empty if
+    the connection has ended or is broken."""
+    # A gevent socket waits for bytes in spite of MSG_DONTWAIT; with a timeout of 0 it does not wait.
+    timeout_s = sock.gettimeout()
     try:
         sock.settimeout(0)
         return sock.recv(1, socket.MSG_PEEK)
@@ -338,9 +355,9 @@
     except OSError:
         return b""
     finally:
-        sock.settimeout(wait)
+        sock.settimeout(timeout_s)
 
 
 def is_stale(sock: socket.socket) -> bool:
-    """Whether the other side has closed an idle connection, or said what nobody asked for."""
+    """Whether the peer has closed an idle connection, or has sent bytes on it that no request asked for."""
     return peek(sock) is not None
--- a/myrtleroad/net/read_delay.py
+++ b/myrtleroad/net/read_delay.py
@@ -1,4 +1,4 @@
-"""How long what is read now has waited: by the loop's own turns, and by what the system says of a socket."""
+"""How long received data waited to be read, by the turns of the event loop and by the system's TCP info."""
 
 import struct
 from collections.abc import Callable
@@ -6,48 +6,57 @@
 import gevent
 from gevent import socket
 
-TCP_INFO, SIZE, LAST_DATA_RECV = 11, 104, 52  # linux/tcp.h: struct tcp_info, ms since the last bytes came
-TICK_MS = 4.0  # the system counts these ms in its own ticks, 250 a second, and so may say one too many
-BLOCKED_MS = 1.0  # a poll that took longer had to wait: nothing was ready as it began
+# linux/tcp.h: struct tcp_info, and in it the offset of tcpi_last_data_recv, ms since the last data arrived.
+TCP_INFO, TCP_INFO_BYTES, LAST_DATA_RECV_OFFSET = 11, 104, 52
+TICK_MS = 4.0  # the system counts that field in ticks, 250 a second, so that it may be one tick too high
+BLOCKED_MS = 1.0  # a poll that took longer had to wait: no socket was ready when it began
 
 
 class ReadDelay:
-    """The turns of the loop. What a poll finds ready came after the one before it returned, or as this one
-    waited; so it has waited as long as the turn between them took, and since."""
+    """Bounds how long data that is read now has waited for the event loop. Data that a poll finds arrived
+    after the previous poll returned, or while this poll waited. So it has waited at most for the turn between
+    the two polls, plus the time since this poll returned."""
 
     def __init__(self, clock: Callable[[], float]):
         self.clock = clock
-        self.begun = self.polled = clock()
-        self.turns = 0
-        self.waited = 0.0  # at most, by what the last poll found
+        self.poll_started_at = self.poll_returned_at = clock()
+        self.turns = 0  # of the event loop
+        self.max_wait_ms = 0.0  # of the data that the last poll found, until that poll returned
         loop = gevent.get_hub().loop
-        # After all else that a turn does before its poll, and before all else that follows it.
-        self.before = loop.prepare(ref=False, priority=loop.MINPRI)
-        self.after = loop.check(ref=False, priority=loop.MAXPRI)
-        self.before.start(self.begin)
-        self.after.start(self.turn)
-
-    def begin(self) -> None:
-        self.begun = self.clock()
-
-    def turn(self) -> None:
+        # These run last before a poll and first after it.
+        self.before_poll = loop.prepare(ref=False, priority=loop.MINPRI)
+        self.after_poll = loop.check(ref=False, priority=loop.MAXPRI)
+        self.before_poll.start(self.poll_starts)
+        self.after_poll.start(self.poll_returned)
+
+    def poll_starts(self) -> None:
+        """Called by the event loop before each poll."""
+        self.poll_started_at = self.clock()
+
+    def poll_returned(self) -> None:
+        """Called by the event loop after each poll."""
         now = self.clock()
-        self.waited = self.begun - self.polled if now - self.begun < BLOCKED_MS else 0.0
-        self.polled = now
+        self.max_wait_ms = (
+            self.poll_started_at - self.poll_returned_at if now - self.poll_started_at < BLOCKED_MS else 0.0
+        )
+        self.poll_returned_at = now
         self.turns += 1
 
-    def age(self) -> float:
-        return self.waited + self.clock() - self.polled
+    def current_ms(self) -> float:
+        """Returns the longest time that data read now may have waited, in ms."""
+        return self.max_wait_ms + self.clock() - self.poll_returned_at
 
     def stop(self) -> None:
-        self.before.stop()
-        self.after.stop()
+        """Stops observing the event loop."""
+        self.before_poll.stop()
+        self.after_poll.stop()
 
 
-def unread_ms(sock: socket.socket) -> float:
-    """How long ago this socket's last bytes came, in ms; 0 where the system does not say."""
+def last_data_age_ms(sock: socket.socket) -> float:
+    """Returns how long ago the socket's last bytes arrived, in ms and rounded down by a tick; 0 if the system
+    does not report it."""
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, TCP_INFO, SIZE)
-        return max(0.0, struct.unpack_from("I", told, LAST_DATA_RECV)[0] - TICK_MS)
+        tcp_info = sock.getsockopt(socket.IPPROTO_TCP, TCP_INFO, TCP_INFO_BYTES)
+        return max(0.0, struct.unpack_from("I", tcp_info, LAST_DATA_RECV_OFFSET)[0] - TICK_MS)
     except (OSError, struct.error):
         return 0.0
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -15,15 +15,17 @@
 
 
 def start_listener(is_ready=True, sockets=1024):
-    taken = SimpleQueue()
-    told = build_node_config(limits={"sockets": sockets})
-    d = client_listener.ClientListener(told, Clock(), Counters(), null_log, taken.put, lambda: is_ready)
-    gevent.spawn(d.run)
-    return d, taken
+    received = SimpleQueue()
+    node_config = build_node_config(limits={"sockets": sockets})
+    listener = client_listener.ClientListener(
+        node_config, Clock(), Counters(), null_log, received.put, lambda: is_ready
+    )
+    gevent.spawn(listener.run)
+    return listener, received
 
 
-def connect(d):
-    return socket.create_connection(d.sock.getsockname())
+def connect(listener):
+    return socket.create_connection(listener.sock.getsockname())
 
 
 def read_status(sock):
@@ -31,34 +33,34 @@
     return int(head.split()[1]), head, body
 
 
-def test_a_req_is_taken_with_its_route_tenant_and_end():
-    d, taken = start_listener()
-    before = d.clock()
-    connect(d).sendall(VALID_REQUEST.replace(b"\r\n\r\n", b"\r\nX-Resent: 1\r\n\r\n"))
-    rq = taken.get().request
-    assert (rq.route, rq.tenant, rq.dedup_key, rq.is_repeat) == (0, 0, None, True)
-    assert before + 480 <= rq.deadline <= d.clock() + 480
+def test_request_is_delivered_with_route_tenant_and_deadline():
+    listener, received = start_listener()
+    before = listener.clock()
+    connect(listener).sendall(VALID_REQUEST.replace(b"\r\n\r\n", b"\r\nX-Resent: 1\r\n\r\n"))
+    request = received.get().request
+    assert (request.route, request.tenant, request.dedup_key, request.is_repeat) == (0, 0, None, True)
+    assert before + 480 <= request.deadline <= listener.clock() + 480
 
 
-def test_answers_keep_the_connection_and_the_body():
-    d, taken = start_listener()
-    sock = connect(d)
-    for come_back, line in ((0.0, None), (250.0, b"Retry-After: 0.250")):
+def test_response_keeps_connection_open_and_body_unchanged():
+    listener, received = start_listener()
+    sock = connect(listener)
+    for retry_after_ms, line in ((0.0, None), (250.0, b"Retry-After: 0.250")):
         sock.sendall(VALID_REQUEST)
-        taken.get().respond(response.shed(come_back))
+        received.get().respond(response.shed(retry_after_ms))
         code, head, _ = read_status(sock)
         assert code == 503 and (line is None or line in head) and b"close" not in head
     sock.sendall(VALID_REQUEST)
-    answer = response.UpstreamResponse(
+    upstream_response = response.UpstreamResponse(
         200, [(b"Content-Type", b"a/b"), (b"X-Pressure", b"TEXT active=1")], [b"he", b"y"]
     )
-    taken.get().respond(response.completed(answer))
+    received.get().respond(response.completed(upstream_response))
     code, head, body = read_status(sock)
     assert (code, body) == (200, b"hey") and b"a/b" in head and b"Pressure" not in head
 
 
 @pytest.mark.parametrize(
-    ("was", "becomes", "code"),
+    ("old", "new", "code"),
     [
         (b"X-Lane: look", b"X-Lane: other", 400),
         (b"X-Lane: look\r\n", b"", 400),
@@ -72,9 +74,9 @@
         (b"X-Txn: 1", b"X-Txn: a b", 400),
         (b"X-Txn: 1", b"X-Txn: " + b"1" * 200, 400),
         (b"X-Lane: look", b"X-Lane: look\r\nX-Lane: book", 400),
-        (b"X-Lane: look", b"X-Lane: book", 400),  # which is no GET
+        (b"X-Lane: look", b"X-Lane: book", 400),  # this route does not allow GET
         (b"GET", b"POST", 400),
-        (b"\r\n\r\n", b"\r\nContent-Length: 2\r\n\r\nhi", 400),  # a GET has no body here
+        (b"\r\n\r\n", b"\r\nContent-Length: 2\r\n\r\nhi", 400),  # a GET must not have a body
         (b"Host: h\r\n", b"", 400),
         (b"/api", b"/other", 404),
         (b"/api", b"/-/other", 404),
@@ -82,122 +84,131 @@
         (b"/api", b"/-/ready", 200),
     ],
 )
-def test_input_that_is_not_for_the_module_is_answered_here(was, becomes, code):
-    d, taken = start_listener()
-    sock = connect(d)
-    sock.sendall(VALID_REQUEST.replace(was, becomes))
+def test_request_not_for_dispatcher_gets_response_from_listener(old, new, code):
+    listener, received = start_listener()
+    sock = connect(listener)
+    sock.sendall(VALID_REQUEST.replace(old, new))
     assert read_status(sock)[0] == code
-    sock.sendall(VALID_REQUEST)  # framing was kept, so the connection serves on
-    assert isinstance(taken.get(), RequestReceived)
+    sock.sendall(VALID_REQUEST)  # framing is intact, so the connection stays usable
+    assert isinstance(received.get(), RequestReceived)
 
 
 @pytest.mark.parametrize(("data", "code"), [(b"nonsense\r\n\r\n", 400), (b"GET /" + b"a" * 20000, 431)])
-def test_lost_framing_is_told_once_and_closes(data, code):
-    d, _ = start_listener()
-    sock = connect(d)
+def test_lost_framing_gets_one_response_and_closes_connection(data, code):
+    listener, _ = start_listener()
+    sock = connect(listener)
     sock.sendall(data)
-    got, head, _ = read_status(sock)
-    assert got == code and b"Connection: close" in head
+    received_code, head, _ = read_status(sock)
+    assert received_code == code and b"Connection: close" in head
     assert sock.recv(1) == b""
 
 
-def test_a_client_that_leaves_is_seen_while_its_req_is_held():
-    d, taken = start_listener()
-    sock = connect(d)
+def test_client_disconnect_is_noticed_while_its_request_is_open():
+    listener, received = start_listener()
+    sock = connect(listener)
     sock.sendall(VALID_REQUEST)
-    ident = taken.get().request.id
+    request_id = received.get().request.id
     sock.close()
-    assert taken.get() == ClientGone(ident)
-    assert not d.connections
+    assert received.get() == ClientGone(request_id)
+    assert not listener.connections
 
 
-def test_an_answer_after_the_client_left_harms_nothing():
-    d, taken = start_listener()
-    sock = connect(d)
+def test_response_after_client_disconnect_has_no_effect():
+    listener, received = start_listener()
+    sock = connect(listener)
     sock.sendall(VALID_REQUEST)
-    message = taken.get()
+    message = received.get()
     sock.close()
-    taken.get()
+    received.get()
     message.respond(response.bad_gateway())
-    other = connect(d)
+    other = connect(listener)
     other.sendall(VALID_REQUEST)
-    assert isinstance(taken.get(), RequestReceived)
+    assert isinstance(received.get(), RequestReceived)
 
 
-def test_a_front_that_is_not_ready_says_so():
-    d, _ = start_listener(is_ready=False)
-    sock = connect(d)
+def test_readiness_check_of_unready_front_gets_503():
+    listener, _ = start_listener(is_ready=False)
+    sock = connect(listener)
     sock.sendall(b"GET /-/ready HTTP/1.1\r\n\r\n")
     assert read_status(sock)[0] == 503
 
 
-def test_idle_connections_give_way_where_descriptors_run_short():
-    d, taken = start_listener(sockets=30)  # three clients' worth
-    idle, holding = connect(d), connect(d)
-    holding.sendall(VALID_REQUEST)
-    held = taken.get()
-    more = [connect(d) for _ in range(2)]
-    more[-1].sendall(VALID_REQUEST)
-    assert isinstance(taken.get(), RequestReceived)
+def test_idle_connections_are_closed_when_descriptors_run_short():
+    listener, received = start_listener(sockets=30)  # room for three clients
+    idle, with_request = connect(listener), connect(listener)
+    with_request.sendall(VALID_REQUEST)
+    open_request = received.get()
+    later = [connect(listener) for _ in range(2)]
+    later[-1].sendall(VALID_REQUEST)
+    assert isinstance(received.get(), RequestReceived)
     assert idle.recv(1) == b""
-    held.respond(response.bad_gateway())
-    assert read_status(holding)[0] == 502
+    open_request.respond(response.bad_gateway())
+    assert read_status(with_request)[0] == 502
 
 
-def test_reqs_behind_one_another_are_served_one_at_a_time_in_order():
-    d, taken = start_listener()
-    sock = connect(d)
+def test_pipelined_requests_are_delivered_one_at_a_time():
+    listener, received = start_listener()
+    sock = connect(listener)
     sock.sendall(VALID_REQUEST * 200)
     for _ in range(200):
-        message = taken.get()
+        message = received.get()
         gevent.sleep(0)
-        assert taken.empty()
+        assert received.empty()
         message.respond(response.shed(0.0))
         assert read_status(sock)[0] == 503
 
 
-def test_a_client_that_leaves_with_reqs_behind_its_own_is_seen(monkeypatch):
-    monkeypatch.setattr(client_listener, "LOOK_S", 0.001)
-    d, taken = start_listener()
-    sock = connect(d)
+def test_client_disconnect_is_noticed_with_pipelined_requests_unread(monkeypatch):
+    monkeypatch.setattr(client_listener, "DISCONNECT_POLL_S", 0.001)
+    listener, received = start_listener()
+    sock = connect(listener)
     sock.sendall(VALID_REQUEST * 2)
-    ident = taken.get().request.id
+    request_id = received.get().request.id
     sock.close()
-    assert taken.get() == ClientGone(ident) and not d.connections
+    assert received.get() == ClientGone(request_id) and not listener.connections
 
 
 @pytest.mark.parametrize(
     ("data", "code"), [(b"", None), (VALID_REQUEST[:30], 408), (VALID_REQUEST[:-2], 408)]
 )
-def test_a_connection_that_asks_nothing_whole_ends_in_time(monkeypatch, data, code):
-    for name, value in (("IDLE_MS", 20.0), ("WHOLE_MS", 30.0), ("SWEEP_S", 0.005), ("LINGER_MS", 20.0)):
+def test_connection_without_whole_request_is_closed_after_its_timeout(monkeypatch, data, code):
+    for name, value in (
+        ("IDLE_TIMEOUT_MS", 20.0),
+        ("REQUEST_READ_TIMEOUT_MS", 30.0),
+        ("SWEEP_INTERVAL_S", 0.005),
+        ("LINGER_TIMEOUT_MS", 20.0),
+    ):
         monkeypatch.setattr(client_listener, name, value)
-    d, taken = start_listener()
-    sock = connect(d)
+    listener, received = start_listener()
+    sock = connect(listener)
     sock.sendall(data)
     if code:
         assert read_status(sock)[0] == code
     assert sock.recv(1) == b""
-    while d.connections:
+    while listener.connections:
         gevent.sleep(0.001)
-    assert taken.empty()
+    assert received.empty()
 
 
-def test_a_held_req_outlasts_the_limits_of_idle_connections(monkeypatch):
-    for name, value in (("IDLE_MS", 5.0), ("WHOLE_MS", 5.0), ("SWEEP_S", 0.002)):
+def test_open_request_is_not_ended_by_connection_timeouts(monkeypatch):
+    for name, value in (
+        ("IDLE_TIMEOUT_MS", 5.0),
+        ("REQUEST_READ_TIMEOUT_MS", 5.0),
+        ("SWEEP_INTERVAL_S", 0.002),
+    ):
         monkeypatch.setattr(client_listener, name, value)
-    d, taken = start_listener()
-    sock = connect(d)
+    listener, received = start_listener()
+    sock = connect(listener)
     sock.sendall(VALID_REQUEST)
-    message = taken.get()
+    message = received.get()
     gevent.sleep(0.03)
     message.respond(response.bad_gateway())
     assert read_status(sock)[0] == 502
 
 
-def test_a_body_too_long_is_told_at_once_and_not_read_for_long():
-    d, taken = start_listener()
-    sock = connect(d)
+def test_too_long_body_gets_413_at_once_and_is_not_read_to_its_end():
+    listener, received = start_listener()
+    sock = connect(listener)
     sock.sendall(
         VALID_REQUEST.replace(b"GET", b"POST").replace(b"\r\n\r\n", b"\r\nContent-Length: 60000000\r\n\r\n")
     )
@@ -205,58 +216,60 @@
     with pytest.raises(OSError):
         for _ in range(1000):
             sock.sendall(b"x" * 60000)
-    assert taken.empty()
+    assert received.empty()
 
 
-def test_a_client_that_waits_to_be_told_is_told_to_go_on():
-    d, taken = start_listener()
-    sock = connect(d)
-    waits = b"\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
-    sock.sendall(VALID_REQUEST.replace(b"GET", b"POST").replace(b"look", b"book").replace(b"\r\n\r\n", waits))
+def test_client_that_expects_100_continue_gets_it():
+    listener, received = start_listener()
+    sock = connect(listener)
+    expect = b"\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
+    sock.sendall(
+        VALID_REQUEST.replace(b"GET", b"POST").replace(b"look", b"book").replace(b"\r\n\r\n", expect)
+    )
     assert sock.recv(100) == b"HTTP/1.1 100 Continue\r\n\r\n"
     sock.sendall(b"hi")
-    assert taken.get().message.body == b"hi"
+    assert received.get().message.body == b"hi"
+
+
+def test_many_silent_connections_do_not_keep_out_other_clients():
+    listener, received = start_listener(sockets=40)  # room for eight clients
+    silent_clients = [connect(listener) for _ in range(60)]
+    sock = connect(listener)
+    sock.sendall(VALID_REQUEST)
+    received.get().respond(response.shed(0.0))
+    assert read_status(sock)[0] == 503 and len(listener.connections) <= 8 and len(silent_clients) == 60
 
 
-def test_silent_connections_by_hundreds_do_not_keep_others_out():
-    d, taken = start_listener(sockets=40)  # eight clients' worth
-    silent_ones = [connect(d) for _ in range(60)]
-    sock = connect(d)
+def test_response_closes_connection_when_there_are_too_many():
+    listener, received = start_listener(sockets=100)
+    sock = connect(listener)
     sock.sendall(VALID_REQUEST)
-    taken.get().respond(response.shed(0.0))
-    assert read_status(sock)[0] == 503 and len(d.connections) <= 8 and len(silent_ones) == 60
-
-
-def test_where_connections_are_many_an_answer_is_the_last_of_its_own():
-    d, taken = start_listener(sockets=100)
-    few = connect(d)
-    few.sendall(VALID_REQUEST)
-    taken.get().respond(response.shed(0.0))
-    assert b"Connection: close" not in read_status(few)[1]
-    held = [connect(d) for _ in range(26)]
-    few.sendall(VALID_REQUEST)
-    message = taken.get()
-    while len(d.connections) < 27:
+    received.get().respond(response.shed(0.0))
+    assert b"Connection: close" not in read_status(sock)[1]
+    others = [connect(listener) for _ in range(26)]
+    sock.sendall(VALID_REQUEST)
+    message = received.get()
+    while len(listener.connections) < 27:
         gevent.sleep(0.001)
     message.respond(response.shed(0.0))
-    code, head, _ = read_status(few)
-    assert code == 503 and b"Connection: close" in head and len(held) == 26
-    assert few.recv(1) == b""
+    code, head, _ = read_status(sock)
+    assert code == 503 and b"Connection: close" in head and len(others) == 26
+    assert sock.recv(1) == b""
 
 
-def test_stopping_answers_what_is_held_and_closes_what_is_idle():
-    d, taken = start_listener()
-    idle, holding, late = connect(d), connect(d), connect(d)
-    holding.sendall(VALID_REQUEST)
-    held = taken.get()
-    d.stopping, at = True, d.sock.getsockname()
+def test_stopping_responds_to_open_requests_and_closes_idle_connections():
+    listener, received = start_listener()
+    idle, with_request, late = connect(listener), connect(listener), connect(listener)
+    with_request.sendall(VALID_REQUEST)
+    open_request = received.get()
+    listener.stopping, address = True, listener.sock.getsockname()
     late.sendall(VALID_REQUEST)
-    taken.get().respond(response.shed(0.0))
+    received.get().respond(response.shed(0.0))
     code, head, _ = read_status(late)
     assert code == 503 and b"Connection: close" in head
-    d.stop_listening(d.clock())
+    listener.stop_listening(listener.clock())
     assert idle.recv(1) == b""
-    held.respond(response.bad_gateway())
-    assert read_status(holding)[0] == 502
+    open_request.respond(response.bad_gateway())
+    assert read_status(with_request)[0] == 502
     with pytest.raises(ConnectionError):
-        socket.create_connection(at)
+        socket.create_connection(address)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -124,7 +124,9 @@
     (job, _) = sent(b)
     ends(b, job, ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED), i.Outcome.RESET)
     b.run_timers(b.clock() + 60)
-    assert [a.head for a in early] == [[]] and [a.head for a in late] == [[b"Retry-After: 0.001\r\n"]]
+    assert [a.header_lines for a in early] == [[]] and [a.header_lines for a in late] == [
+        [b"Retry-After: 0.001\r\n"]
+    ]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,30 +4,30 @@
 
 from myrtleroad.net import http1
 
-REQ = b"POST /api?x=1 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b\r\nX-Remaining-Ms: 480\r\n"
-REQ += b"Content-Length: 5\r\n\r\nhello"
+REQUEST = b"POST /api?x=1 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b\r\nX-Remaining-Ms: 480\r\n"
+REQUEST += b"Content-Length: 5\r\n\r\nhello"
 
 
-def fed(*chunks):
-    reader, whole = http1.RequestParser(), []
+def parse_requests(*chunks):
+    parser, messages = http1.RequestParser(), []
     for chunk in chunks:
         data = memoryview(chunk)
         while data:
-            data = data[reader.feed(data) :]
-            if reader.whole:
-                whole.append(reader.take())
-    return whole
+            data = data[parser.feed(data) :]
+            if parser.complete:
+                messages.append(parser.take_message())
+    return messages
 
 
-@pytest.mark.parametrize("cut", range(1, len(REQ)))
-def test_a_req_is_read_whole_wherever_it_is_split(cut):
-    (message,) = fed(REQ[:cut], REQ[cut:])
+@pytest.mark.parametrize("cut", range(1, len(REQUEST)))
+def test_request_is_parsed_wherever_it_is_split(cut):
+    (message,) = parse_requests(REQUEST[:cut], REQUEST[cut:])
     assert (message.method, message.target, message.body) == (b"POST", b"/api?x=1", b"hello")
     assert message.header(b"x-txn") == b"9b"
 
 
-def test_two_reqs_in_one_read():
-    assert [m.body for m in fed(REQ + REQ)] == [b"hello", b"hello"]
+def test_two_requests_in_one_read_are_both_parsed():
+    assert [message.body for message in parse_requests(REQUEST + REQUEST)] == [b"hello", b"hello"]
 
 
 @pytest.mark.parametrize(
@@ -42,21 +42,21 @@
         ([b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + b"a" * 65537], 413),
     ],
 )
-def test_unfit_input_is_told_apart(chunks, status):
-    with pytest.raises(http1.HttpError) as unfit:
-        fed(*chunks)
-    assert unfit.value.status == status
+def test_invalid_request_gets_its_status(chunks, status):
+    with pytest.raises(http1.HttpError) as error:
+        parse_requests(*chunks)
+    assert error.value.status == status
 
 
-def test_the_largest_body_passes():
-    (message,) = fed(b"POST /api HTTP/1.1\r\nContent-Length: 65536\r\n\r\n", b"a" * 65536)
+def test_body_of_the_maximum_size_is_accepted():
+    (message,) = parse_requests(b"POST /api HTTP/1.1\r\nContent-Length: 65536\r\n\r\n", b"a" * 65536)
     assert len(message.body) == 65536
 
 
-def test_of_many_reqs_in_one_read_one_is_taken_and_the_rest_are_left():
-    reader, data = http1.RequestParser(), REQ * 300
-    assert reader.feed(data) == len(REQ) and reader.whole
-    assert reader.feed(data) == 0
+def test_feed_stops_at_the_end_of_the_first_request():
+    parser, data = http1.RequestParser(), REQUEST * 300
+    assert parser.feed(data) == len(REQUEST) and parser.complete
+    assert parser.feed(data) == 0
 
 
 @pytest.mark.parametrize(
@@ -80,56 +80,58 @@
         (b"A: b\nC: d", 400),
     ],
 )
-def test_framing_that_may_hide_another_req_is_refused(lines, status):
-    with pytest.raises(http1.HttpError) as unfit:
-        fed(b"POST /api HTTP/1.1\r\nX-Txn: 1\r\n" + lines + b"\r\n\r\n0\r\n\r\n")
-    assert unfit.value.status == status
+def test_framing_that_may_hide_another_request_is_rejected(lines, status):
+    with pytest.raises(http1.HttpError) as error:
+        parse_requests(b"POST /api HTTP/1.1\r\nX-Txn: 1\r\n" + lines + b"\r\n\r\n0\r\n\r\n")
+    assert error.value.status == status
 
 
-def test_what_trails_a_chunked_body_is_no_header_and_a_req_behind_it_ends_the_connection():
+def test_chunked_trailers_are_no_headers_and_a_request_after_them_ends_the_connection():
     chunked = b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\na\r\n" * 3000
-    (message,) = fed(chunked + b"0\r\nX-Txn: 7\r\n\r\n")
+    (message,) = parse_requests(chunked + b"0\r\nX-Txn: 7\r\n\r\n")
     assert message.body == b"a" * 3000 and message.header(b"x-txn") is None and message.keep_alive
-    (first,) = fed(chunked + b"0\r\n\r\n" + REQ)
+    (first,) = parse_requests(chunked + b"0\r\n\r\n" + REQUEST)
     assert first.body == b"a" * 3000 and not first.keep_alive
 
 
-def test_a_field_that_came_twice_is_told_apart():
-    (message,) = fed(b"GET /api HTTP/1.1\r\nX-Txn: 1\r\nx-txn: 2\r\nHost: h\r\n\r\n")
+def test_repeated_header_has_no_single_value():
+    (message,) = parse_requests(b"GET /api HTTP/1.1\r\nX-Txn: 1\r\nx-txn: 2\r\nHost: h\r\n\r\n")
     assert message.single_value(b"x-txn") is None and message.single_value(b"host") == b"h"
 
 
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 
-def answered(*chunks, stream=False):
-    reader = http1.ResponseParser(stream)
+def parse_response(*chunks, stream=False):
+    parser = http1.ResponseParser(stream)
     for chunk in chunks:
-        reader.feed(memoryview(chunk))
-    return reader
+        parser.feed(memoryview(chunk))
+    return parser
 
 
 @pytest.mark.parametrize(
-    "ahead", [b"HTTP/1.1 100 Continue\r\n\r\n", b"HTTP/1.1 103 Early\r\nA: b\r\n\r\n" * 3]
+    "interim", [b"HTTP/1.1 100 Continue\r\n\r\n", b"HTTP/1.1 103 Early\r\nA: b\r\n\r\n" * 3]
 )
-def test_1xx_answers_ahead_are_skipped(ahead):
-    for chunks in ([ahead + OK], [ahead, OK]):
-        reader = answered(*chunks)
-        assert reader.complete and reader.response.keep_alive
-        assert (reader.response.status, reader.response.body, len(reader.response.headers)) == (
+def test_1xx_responses_before_the_final_one_are_skipped(interim):
+    for chunks in ([interim + OK_RESPONSE], [interim, OK_RESPONSE]):
+        parser = parse_response(*chunks)
+        assert parser.complete and parser.response.keep_alive
+        assert (parser.response.status, parser.response.body, len(parser.response.headers)) == (
             200,
             [b"hi"],
             1,
         )
-    assert not answered(ahead).complete
+    assert not parse_response(interim).complete
 
 
-@pytest.mark.parametrize("behind", [OK.replace(b"hi", b"no"), b"\xff\xfenoise", b"HTTP/1.1 404 No\r\n\r\n"])
-def test_what_comes_behind_a_whole_answer_is_no_part_of_it(behind):
-    # Guards against a second copy taking the place of the answer, or noise making it a failure.
-    reader = answered(OK + behind)
-    assert reader.complete and not reader.response.keep_alive
-    assert (reader.response.status, reader.response.body) == (200, [b"hi"])
+@pytest.mark.parametrize(
+    "trailing", [OK_RESPONSE.replace(b"hi", b"no"), b"\xff\xfenoise", b"HTTP/1.1 404 No\r\n\r\n"]
+)
+def test_bytes_after_a_complete_response_do_not_change_it(trailing):
+    # A second response must not replace the first, and invalid bytes must not turn it into a failure.
+    parser = parse_response(OK_RESPONSE + trailing)
+    assert parser.complete and not parser.response.keep_alive
+    assert (parser.response.status, parser.response.body) == (200, [b"hi"])
 
 
 @pytest.mark.parametrize(
@@ -150,22 +152,22 @@
         [b"HTTP/1.1 100 Continue\r\n\r\n"] * 1000,
     ],
 )
-def test_a_spoilt_answer_is_unfit_and_bounded(chunks):
+def test_invalid_or_too_long_response_is_rejected(chunks):
     with pytest.raises(http1.HttpError):
-        answered(*chunks)
+        parse_response(*chunks)
 
 
-def test_a_stream_may_go_on_for_long():
-    reader = answered(
+def test_stream_body_has_no_size_limit():
+    parser = parse_response(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         *[b"8000\r\n" + b"x" * 32768 + b"\r\n"] * 9,
         stream=True,
     )
-    assert not reader.complete
+    assert not parser.complete
 
 
-def test_forwarding_changes_only_framing_and_the_time_left():
-    (message,) = fed(REQ.replace(b"Host: h", b"Host: h\r\nConnection: close\r\nX-Lane: look"))
+def test_forwarded_request_differs_only_in_framing_and_remaining_time():
+    (message,) = parse_requests(REQUEST.replace(b"Host: h", b"Host: h\r\nConnection: close\r\nX-Lane: look"))
     sent = b"".join(http1.forwarded_request(message, 333))
     assert sent.startswith(b"POST /api?x=1 HTTP/1.1\r\n") and sent.endswith(b"\r\n\r\nhello")
     for line in (b"X-Txn: 9b", b"X-Lane: look", b"X-Remaining-Ms: 333", b"Content-Length: 5"):
@@ -173,34 +175,35 @@
     assert b"480" not in sent and b"Connection" not in sent
 
 
-def test_a_get_goes_on_without_a_body():
-    (message,) = fed(b"GET /api HTTP/1.1\r\nX-Txn: 1\r\n\r\n")
+def test_forwarded_get_has_no_content_length():
+    (message,) = parse_requests(b"GET /api HTTP/1.1\r\nX-Txn: 1\r\n\r\n")
     assert b"Content-Length" not in b"".join(http1.forwarded_request(message, 1))
 
 
-def test_a_write_longer_than_the_system_takes_at_once_arrives_whole():
-    ours, theirs = socket.socketpair()
-    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+def test_data_larger_than_the_send_buffer_arrives_whole():
+    local, remote = socket.socketpair()
+    local.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     parts = [b"head", b"x" * 50_000, b"", b"tail" * 5000]
-    writer = gevent.spawn(http1.send, ours, parts)
-    got = b""
-    while len(got) < 70_004:
-        got += theirs.recv(65536)
+    writer = gevent.spawn(http1.send, local, parts)
+    received = b""
+    while len(received) < 70_004:
+        received += remote.recv(65536)
     writer.join()
-    assert got == b"".join(parts)
+    assert received == b"".join(parts)
 
 
-def test_looking_at_an_idle_connection_does_not_wait():
-    # A look that waited for bytes held up a machine's actor, and every try behind it, until they came.
-    ours, theirs = socket.socketpair()
-    looks = gevent.spawn(http1.is_stale, ours)
+def test_check_of_an_idle_connection_does_not_block():
+    # A check that waited for bytes would block the actor of a server, and every attempt queued there, until
+    # they came.
+    local, remote = socket.socketpair()
+    check = gevent.spawn(http1.is_stale, local)
     gevent.sleep(0)
-    assert looks.ready() and looks.value is False
-    theirs.close()
-    assert http1.is_stale(ours)
+    assert check.ready() and check.value is False
+    remote.close()
+    assert http1.is_stale(local)
 
 
-def test_unasked_bytes_make_a_connection_unfit_for_use():
-    ours, theirs = socket.socketpair()
-    theirs.send(b"HTTP/1.1 408 Late\r\n\r\n")
-    assert http1.is_stale(ours)
+def test_connection_with_unrequested_bytes_is_stale():
+    local, remote = socket.socketpair()
+    remote.send(b"HTTP/1.1 408 Late\r\n\r\n")
+    assert http1.is_stale(local)
