--- a/myrtleroad/net/exchange_result.py
+++ b/myrtleroad/net/exchange_result.py
@@ -1,4 +1,4 @@
-"""How an exchange with a peer ended: errors as values that carry how far it had come."""
+"""Results of a request to a peer. Failures are values that show how far the exchange had come."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
@@ -7,27 +7,31 @@
 
 
 class ExchangeProgress(IntEnum):
-    """How far an exchange had come when it broke."""
+    """How far an exchange had come when it failed."""
 
     NOT_CONNECTED = 0
-    CONNECTED = 1  # and the last byte not written
-    WRITTEN = 2  # every byte written, nothing come back
-    BEGUN = 3  # the answer begun and not whole
+    CONNECTED = 1  # the request not written to its last byte
+    WRITTEN = 2  # the request written whole, nothing received
+    BEGUN = 3  # a part of the response received
 
 
 class FailureCause(StrEnum):
-    REFUSED = "refused"  # by the other side
-    SHORT = "short"  # by our own system: no descriptor, memory or port left
-    TIMEOUT = "timeout"  # we stopped waiting
-    ENDED = "ended"  # the other side closed or reset
-    UNREADABLE = "unreadable"  # what came was not HTTP
-    CANCELLED = "cancelled"  # called off by the module
-    WITHDRAWN = "withdrawn"  # the list or the news forbade it just before it was written
-    OVERDUE = "overdue"  # the req's own time ran out before it was written
+    """Why an exchange failed."""
+
+    REFUSED = "refused"  # by the peer or the network
+    SHORT = "short"  # the front has no descriptor, memory or port left
+    TIMEOUT = "timeout"  # the time to wait for the peer ran out
+    ENDED = "ended"  # the peer closed or reset the connection
+    UNREADABLE = "unreadable"  # the received bytes are no valid HTTP response
+    CANCELLED = "cancelled"  # by the dispatcher
+    WITHDRAWN = "withdrawn"  # a server list or stage update ruled it out just before it was written
+    OVERDUE = "overdue"  # the request's deadline passed before it was written
 
 
 @dataclass(slots=True, frozen=True)
 class ExchangeFailure:
+    """An exchange without a complete response."""
+
     progress: ExchangeProgress
     cause: FailureCause
     detail: str = ""
@@ -35,26 +39,30 @@
 
 @dataclass(slots=True)
 class UpstreamResponse:
+    """A response received from a peer; the body in the chunks in which it came."""
+
     status: int
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
     body: list[bytes] = field(default_factory=list)
     keep_alive: bool = True
 
     def header(self, name: bytes) -> bytes | None:
-        return next((v for n, v in self.headers if n.lower() == name), None)
+        """Returns the first value of a header by its lower-case name."""
+        return next((value for key, value in self.headers if key.lower() == name), None)
 
 
 def outcome_of_attempt(result: UpstreamResponse | ExchangeFailure) -> i.Outcome:
-    """What a try's result says; only an ending of ``interface.NEVER_RAN`` says that it cannot have run."""
+    """Returns the outcome that an attempt's result stands for. Only the outcomes in
+    ``interface.NOT_EXECUTED`` mean that the server cannot have executed the request."""
     if isinstance(result, UpstreamResponse):
         if result.status == 200:
             return i.Outcome.COMPLETED
-        away = result.status in (503, 504) and result.header(b"x-turned-away") == b"1"
-        return i.Outcome.FULL if away else i.Outcome.ERRORED
+        is_shed = result.status in (503, 504) and result.header(b"x-turned-away") == b"1"
+        return i.Outcome.FULL if is_shed else i.Outcome.ERRORED
     if result.cause in (FailureCause.WITHDRAWN, FailureCause.OVERDUE, FailureCause.SHORT):
-        return i.Outcome.MOOT  # not the machine's fault, and never written
+        return i.Outcome.MOOT  # never written, and not because of the server
     if result.progress < ExchangeProgress.WRITTEN:
-        # A machine begins a req once its last byte has arrived, and that byte was never written.
+        # A server executes a request only after its last byte has arrived, and that byte was not written.
         return i.Outcome.NOT_CONNECTED
     if result.cause == FailureCause.TIMEOUT:
         return i.Outcome.TIMEOUT
--- a/tests/test_exchange_result.py
+++ b/tests/test_exchange_result.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "end"),
+    ("status", "headers", "outcome"),
     [
         (200, [], i.Outcome.COMPLETED),
         (500, [], i.Outcome.ERRORED),
@@ -22,25 +22,25 @@
         (404, [], i.Outcome.ERRORED),
     ],
 )
-def test_an_answer_counts_as_turned_away_only_where_it_says_so(status, headers, end):
-    assert outcome_of_attempt(UpstreamResponse(status, headers)) == end
+def test_only_a_response_marked_as_turned_away_counts_as_full(status, headers, outcome):
+    assert outcome_of_attempt(UpstreamResponse(status, headers)) == outcome
 
 
 @pytest.mark.parametrize("cause", list(FailureCause))
-def test_what_was_not_written_whole_never_ran(cause):
-    for reach in (ExchangeProgress.NOT_CONNECTED, ExchangeProgress.CONNECTED):
-        assert outcome_of_attempt(ExchangeFailure(reach, cause)) in i.NOT_EXECUTED
+def test_request_not_written_whole_counts_as_not_executed(cause):
+    for progress in (ExchangeProgress.NOT_CONNECTED, ExchangeProgress.CONNECTED):
+        assert outcome_of_attempt(ExchangeFailure(progress, cause)) in i.NOT_EXECUTED
 
 
 @pytest.mark.parametrize(
     "cause", [FailureCause.TIMEOUT, FailureCause.ENDED, FailureCause.UNREADABLE, FailureCause.CANCELLED]
 )
-def test_what_was_written_whole_may_have_run(cause):
-    for reach in (ExchangeProgress.WRITTEN, ExchangeProgress.BEGUN):
-        assert outcome_of_attempt(ExchangeFailure(reach, cause)) not in i.NOT_EXECUTED
+def test_request_written_whole_may_have_been_executed(cause):
+    for progress in (ExchangeProgress.WRITTEN, ExchangeProgress.BEGUN):
+        assert outcome_of_attempt(ExchangeFailure(progress, cause)) not in i.NOT_EXECUTED
 
 
-def test_a_req_that_ran_out_in_our_hands_does_not_count_against_the_machine():
+def test_request_past_its_deadline_in_the_front_does_not_count_against_the_server():
     assert (
         outcome_of_attempt(ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.OVERDUE))
         == i.Outcome.MOOT
