--- a/myrtleroad/net/listening_socket.py
+++ b/myrtleroad/net/listening_socket.py
@@ -1,4 +1,4 @@
-"""The socket that clients connect to, opened and emptied in spite of system calls that fail for a while."""
+"""Opens the listening socket in spite of system calls that fail for a while, and sets socket options."""
 
 import contextlib
 import errno
@@ -9,8 +9,8 @@
 
 from myrtleroad.net.node_config import Address
 
-BACKLOG = 1024  # the system may cut it
-# What may be over in a moment: too few descriptors, buffers or memory; an address that is still being freed.
+BACKLOG = 1024  # connections that wait to be accepted; the system may have a lower limit
+# Errors that may pass soon: too few descriptors, buffers or memory; an address that is still being released.
 TRANSIENT_ERRNOS = frozenset(
     (
         errno.EADDRINUSE,
@@ -23,28 +23,30 @@
         errno.ENOMEM,
     )
 )
-OPEN_TIMEOUT_S = 3.0  # for an address that cannot be listened on; fronts have to be ready within some seconds
+OPEN_TIMEOUT_S = 3.0  # for repeated attempts to listen; a front has to be ready within some seconds
 RETRY_DELAY_S = 0.05
-REUSE_TRIES = 10
+REUSE_ATTEMPTS = 10  # to set SO_REUSEADDR
 
 
-def open_listener(at: Address) -> socket.socket:
-    """Listens at an address. Raises OSError where that stays impossible."""
-    end = time.monotonic() + OPEN_TIMEOUT_S
+def open_listener(address: Address) -> socket.socket:
+    """Returns a socket that listens on an address. Raises OSError on an error that does not pass, or that
+    lasts for OPEN_TIMEOUT_S."""
+    deadline = time.monotonic() + OPEN_TIMEOUT_S
     while True:
         try:
-            return bind_and_listen(at)
+            return bind_and_listen(address)
         except OSError as error:
-            if error.errno not in TRANSIENT_ERRNOS or time.monotonic() >= end:
+            if error.errno not in TRANSIENT_ERRNOS or time.monotonic() >= deadline:
                 raise
             gevent.sleep(RETRY_DELAY_S)
 
 
-def bind_and_listen(at: Address) -> socket.socket:
+def bind_and_listen(address: Address) -> socket.socket:
+    """Makes one attempt to listen on an address."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         reuse_address(sock)
-        sock.bind(at)
+        sock.bind(address)
         sock.listen(BACKLOG)
     except OSError:
         sock.close()
@@ -53,8 +55,9 @@
 
 
 def reuse_address(sock: socket.socket) -> None:
-    """Without it a front that starts again finds its address in use by connections that have just ended."""
-    for _ in range(REUSE_TRIES):
+    """Sets SO_REUSEADDR. Without it a restarted front finds its address still in use by connections that have
+    just ended."""
+    for _ in range(REUSE_ATTEMPTS):
         try:
             return sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         except OSError:
@@ -62,6 +65,6 @@
 
 
 def try_set_option(sock: socket.socket, level: int, name: int) -> None:
-    """Sets an option that makes a connection better and that it can do without."""
+    """Sets a socket option that improves a connection but is not necessary; ignores errors."""
     with contextlib.suppress(OSError):
         sock.setsockopt(level, name, 1)
