--- a/myrtleroad/admission/__init__.py
+++ b/myrtleroad/admission/__init__.py
@@ -1,4 +1,4 @@
-"""One final answer in time for every req: the account of each, and who is refused at the door.
+"""Admission of requests and the accounting of how they end, so that each gets one final response in time.
 
 No I/O and no clock: times are arguments in ms. See ``docs/design/answers.md``.
 """
--- a/myrtleroad/admission/request_accounting.py
+++ b/myrtleroad/admission/request_accounting.py
@@ -1,16 +1,15 @@
-"""The account of all reqs: every one taken has ended in exactly one way, or is open."""
+"""Accounting of requests: each one taken is either open or has ended in exactly one way."""
 
 from collections.abc import Mapping
 
-OUTCOME_COUNTERS = (
-    "reqs_completed",
-    "reqs_shed",
-    "reqs_errored",
-    "reqs_gone",
-)  # each way that a taken req can end
+# One counter for each way in which a request that was taken can end.
+OUTCOME_COUNTERS = ("reqs_completed", "reqs_shed", "reqs_errored", "reqs_gone")
 
 
-def unaccounted_requests(counts: Mapping[str, int], open_now: int) -> int:
-    """Reqs taken that have neither ended nor are open (below 0: that ended more than once), by the counters
-    of one moment between two messages; 0 where the account holds. ``counts`` may lack what never happened."""
-    return counts.get("reqs_taken", 0) - sum(counts.get(end, 0) for end in OUTCOME_COUNTERS) - open_now
+def unaccounted_requests(counts: Mapping[str, int], open_requests: int) -> int:
+    """Number of requests taken that have neither ended nor are open; 0 if all are accounted for.
+
+    A negative number means that requests were counted as ended more than once. Both arguments have to be of
+    one moment between two messages of the actor. Counters that are missing from ``counts`` are 0.
+    """
+    return counts.get("reqs_taken", 0) - sum(counts.get(name, 0) for name in OUTCOME_COUNTERS) - open_requests
--- a/myrtleroad/request_coroutine.py
+++ b/myrtleroad/request_coroutine.py
@@ -1,4 +1,4 @@
-"""Driving the generator of one req, the same in a drill and on sockets. Nothing is decided here."""
+"""Drives the generator of one request, the same in the simulator and on sockets. Decides nothing itself."""
 
 from collections.abc import Generator, Iterator
 
@@ -6,41 +6,48 @@
 
 
 class RequestCoroutine:
-    """One open req: its generator, and the wait it is in. A timer set in an earlier wait is void."""
+    """An open request: its generator and its current wait. A timer set in an earlier wait is void."""
 
     __slots__ = ("generator", "max_wait_ms", "request_id", "started", "wait_number")
 
-    def __init__(self, ident: int, gen: Generator[i.Action, tuple[float, i.AttemptEnded | None], None]):
-        self.request_id, self.generator = ident, gen
+    def __init__(
+        self, request_id: int, generator: Generator[i.Action, tuple[float, i.AttemptEnded | None], None]
+    ):
+        self.request_id, self.generator = request_id, generator
         self.started = False
-        self.wait_number = 0  # counts the waits
-        self.max_wait_ms: float | None = None  # of the wait it is in
+        self.wait_number = 0  # counts the waits, so that a timer of an earlier one is recognized
+        self.max_wait_ms: float | None = None  # of the current wait; None if it has no timeout
 
     def resume(self, result: i.AttemptEnded | None, now: float) -> Iterator[i.Action]:
-        """The actions up to the next wait; the last of all is followed by no wait, see ``over``."""
+        """Yields the actions up to the next wait. After the last action there is none, see ``finished``.
+
+        ``result``: the outcome that ends the current wait; None at the start and if the wait has timed out.
+        """
         self.cancel_timeout()
         while True:
             try:
-                act = self.generator.send((now, result)) if self.started else next(self.generator)
+                action = self.generator.send((now, result)) if self.started else next(self.generator)
             except StopIteration:
                 self.generator.close()
                 return
             self.started, result = True, None
-            if not isinstance(act, i.Wait):
-                yield act
-            if isinstance(act, i.SendAttempt | i.Wait):
-                self.max_wait_ms = act.max_wait_ms
+            if not isinstance(action, i.Wait):
+                yield action
+            if isinstance(action, i.SendAttempt | i.Wait):
+                self.max_wait_ms = action.max_wait_ms
                 return
 
     @property
     def finished(self) -> bool:
+        """Whether the generator has ended, so that no further action comes."""
         return self.generator.gi_frame is None
 
     def cancel_timeout(self) -> None:
-        """Patience no longer runs in this wait."""
+        """Removes the timeout of the current wait and voids the timer that was set for it."""
         self.wait_number += 1
         self.max_wait_ms = None
 
     def close(self) -> None:
+        """Ends the request wherever its generator is; ``finished`` is true from then on."""
         self.generator.close()
         self.cancel_timeout()
