--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,5 @@
-"""Any order of arrivals, waits, endings, leavings, faults and time: one answer a req, sums that add up."""
+"""Each request gets exactly one response and the counters add up, in any order of arrivals, delays, outcomes,
+client departures, faults and passing time."""
 
 import pytest
 from conftest import build_node_config, discovery_entry, null_log
@@ -12,7 +13,7 @@
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
 
-ENDS = {
+RESULTS = {
     i.Outcome.COMPLETED: UpstreamResponse(200, [], [b"hi"]),
     i.Outcome.ERRORED: UpstreamResponse(500),
     i.Outcome.FULL: UpstreamResponse(503, [(b"X-Turned-Away", b"1")]),
@@ -23,131 +24,144 @@
 }
 
 
-class Account(RuleBasedStateMachine):
-    reqs = Bundle("reqs")
+class AccountingMachine(RuleBasedStateMachine):
+    """A dispatcher whose requests, server actors and clock are driven by the rules."""
+
+    request_ids = Bundle("request_ids")
 
     def __init__(self):
         super().__init__()
         self.now = 1_000_000.0
-        told = build_node_config(*(discovery_entry(f"s-{n}", ("127.0.0.1", 9)) for n in range(3)))
-        self.b = dispatcher.Dispatcher(told, lambda: self.now, Counters(), null_log)
-        self.b.start()
-        self.ends_at, self.answers, self.left = {}, {}, set()
-        self.waiting, self.out, self.ran = [], [], {}
-        self.number = 0
-
-    def collect(self):
-        """The tries that the machines' actors were handed."""
-        for actor in self.b.servers.values():
+        config = build_node_config(*(discovery_entry(f"s-{number}", ("127.0.0.1", 9)) for number in range(3)))
+        self.dispatcher = dispatcher.Dispatcher(config, lambda: self.now, Counters(), null_log)
+        self.dispatcher.start()
+        self.deadlines, self.responses, self.departed = {}, {}, set()
+        self.unread, self.running_jobs, self.executed = [], [], {}
+        self.last_request_id = 0
+
+    def collect_jobs(self):
+        """Takes the attempts that the server actors were given out of their mailboxes."""
+        for actor in self.dispatcher.servers.values():
             while actor.mailbox.qsize():
                 message = actor.mailbox.get()
                 if isinstance(message, upstream_server.StartAttempt):
                     job = message.job
-                    assert job.request_id not in self.left and not self.answers.get(job.request_id)
-                    # What may have run must not run twice where its route forbids it.
+                    assert job.request_id not in self.departed and not self.responses.get(job.request_id)
+                    # A request that may have been executed isn't sent again if its route forbids that.
                     assert (
-                        self.b.open_requests[job.request_id].received.request.route == 0
-                        or job.request_id not in self.ran
+                        self.dispatcher.open_requests[job.request_id].received.request.route == 0
+                        or job.request_id not in self.executed
                     )
-                    self.out.append(job)
-
-    @rule(target=reqs, route=st.integers(0, 1), within=st.floats(1.0, 900.0), age=st.floats(0.0, 300.0))
-    def arrive(self, route, within, age):
-        self.number += 1
-        ident = self.number
-        rq = i.Request(ident, route, 0, None, self.now - age + within, 0.0, False)
-        message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"%d" % ident})
-        self.ends_at[ident], self.answers[ident] = rq.deadline, []
+                    self.running_jobs.append(job)
+
+    @rule(
+        target=request_ids,
+        route=st.integers(0, 1),
+        within_ms=st.floats(1.0, 900.0),
+        read_delay_ms=st.floats(0.0, 300.0),
+    )
+    def arrive(self, route, within_ms, read_delay_ms):
+        self.last_request_id += 1
+        request_id = self.last_request_id
+        request = i.Request(request_id, route, 0, None, self.now - read_delay_ms + within_ms, 0.0, False)
+        message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"%d" % request_id})
+        self.deadlines[request_id], self.responses[request_id] = request.deadline, []
 
         def answer(final):
-            self.answers[ident].append((final, self.now))
+            self.responses[request_id].append((final, self.now))
 
-        self.waiting.append(dispatcher.RequestReceived(rq, message, self.now, answer, age))
-        return ident
+        self.unread.append(dispatcher.RequestReceived(request, message, self.now, answer, read_delay_ms))
+        return request_id
 
-    @rule(n=st.integers(1, 5))
-    def work(self, n):
-        for message in self.waiting[:n]:
-            self.b.handle(message)
-        del self.waiting[:n]
-        self.collect()
+    @rule(count=st.integers(1, 5))
+    def handle_messages(self, count):
+        for message in self.unread[:count]:
+            self.dispatcher.handle(message)
+        del self.unread[:count]
+        self.collect_jobs()
 
-    @rule(which=st.integers(0), end=st.sampled_from(list(ENDS)), fault=st.booleans())
-    def ending(self, which, end, fault):
-        if not self.out:
+    @rule(which=st.integers(0), end=st.sampled_from(list(RESULTS)), fault=st.booleans())
+    def finish_attempt(self, which, end, fault):
+        if not self.running_jobs:
             return
-        job = self.out.pop(which % len(self.out))
+        job = self.running_jobs.pop(which % len(self.running_jobs))
         if end not in i.NOT_EXECUTED:
-            self.ran[job.request_id] = True
+            self.executed[job.request_id] = True
         if fault:
-            self.b.load_report = lambda message: 1 / 0
-        self.b.attempt_ended(upstream_server.AttemptResult(job, end, self.now - job.decided_at, ENDS[end]))
-        self.b.process_ended_attempts()
+            self.dispatcher.load_report = lambda message: 1 / 0
+        self.dispatcher.attempt_ended(
+            upstream_server.AttemptResult(job, end, self.now - job.decided_at, RESULTS[end])
+        )
+        self.dispatcher.process_ended_attempts()
         if fault:
-            del self.b.load_report
-        self.collect()
-
-    @rule(ident=reqs)
-    def leave(self, ident):
-        if all(message.request.id != ident for message in self.waiting):
-            self.left.add(ident)
-            self.b.handle(dispatcher.ClientGone(ident))
-
-    @rule(ms=st.floats(0.0, 400.0))
-    def pass_time(self, ms):
-        self.now += ms
-        self.b.run_timers(self.now)
-        self.b.expire_requests(self.now)
-        self.collect()
+            del self.dispatcher.load_report
+        self.collect_jobs()
+
+    @rule(request_id=request_ids)
+    def client_departs(self, request_id):
+        if all(message.request.id != request_id for message in self.unread):
+            self.departed.add(request_id)
+            self.dispatcher.handle(dispatcher.ClientGone(request_id))
+
+    @rule(duration_ms=st.floats(0.0, 400.0))
+    def pass_time(self, duration_ms):
+        self.now += duration_ms
+        self.dispatcher.run_timers(self.now)
+        self.dispatcher.expire_requests(self.now)
+        self.collect_jobs()
 
     @invariant()
-    def one_answer_each_and_sums_that_add_up(self):
-        assert all(len(got) <= 1 for got in self.answers.values())
-        assert unaccounted_requests(self.b.counters.counts, len(self.b.open_requests)) == 0
+    def each_request_has_at_most_one_response_and_the_counters_add_up(self):
+        assert all(len(responses) <= 1 for responses in self.responses.values())
+        assert unaccounted_requests(self.dispatcher.counters.counts, len(self.dispatcher.open_requests)) == 0
 
     @invariant()
-    def none_is_left_open_past_its_time(self):
-        if self.now >= self.b.next_expiry_check - dispatcher.DEADLINE_SLACK_MS:
-            looked = self.b.next_expiry_check - dispatcher.DEADLINE_SLACK_MS
+    def no_request_is_open_past_its_deadline(self):
+        if self.now >= self.dispatcher.next_expiry_check - dispatcher.DEADLINE_SLACK_MS:
+            checked_at = self.dispatcher.next_expiry_check - dispatcher.DEADLINE_SLACK_MS
             assert all(
-                x.received.request.deadline + dispatcher.DEADLINE_SLACK_MS >= looked
-                for x in self.b.open_requests.values()
+                request.received.request.deadline + dispatcher.DEADLINE_SLACK_MS >= checked_at
+                for request in self.dispatcher.open_requests.values()
             )
 
     def teardown(self):
-        self.work(len(self.waiting))
+        self.handle_messages(len(self.unread))
         self.now += 2 * 900.0
-        self.b.expire_requests(self.now)
-        for ident, got in self.answers.items():
-            assert len(got) == 1 or ident in self.left, ident
-        assert not self.b.open_requests
-        for job in self.out:
-            self.b.attempt_ended(
-                upstream_server.AttemptResult(job, i.Outcome.RESET, 1.0, ENDS[i.Outcome.RESET])
+        self.dispatcher.expire_requests(self.now)
+        for request_id, responses in self.responses.items():
+            assert len(responses) == 1 or request_id in self.departed, request_id
+        assert not self.dispatcher.open_requests
+        for job in self.running_jobs:
+            self.dispatcher.attempt_ended(
+                upstream_server.AttemptResult(job, i.Outcome.RESET, 1.0, RESULTS[i.Outcome.RESET])
             )
-        self.b.process_ended_attempts()
-        assert not self.b.ids_in_use  # nothing grows with reqs
+        self.dispatcher.process_ended_attempts()
+        assert not self.dispatcher.ids_in_use  # nothing grows with the number of requests
 
 
-Account.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
-TestAccount = Account.TestCase
+AccountingMachine.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=30, deadline=None, derandomize=True
+)
+TestAccounting = AccountingMachine.TestCase
 
 
 @pytest.mark.parametrize("guard", ["expire_requests", "release_id"])
-def test_a_guard_broken_on_purpose_is_caught(monkeypatch, guard):
+def test_the_accounting_machine_detects_a_disabled_guard(monkeypatch, guard):
     monkeypatch.setattr(dispatcher.Dispatcher, guard, lambda self, of: None)
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(Account, settings=settings(Account.TestCase.settings, print_blob=False))
+        run_state_machine_as_test(
+            AccountingMachine, settings=settings(AccountingMachine.TestCase.settings, print_blob=False)
+        )
 
 
-def test_a_req_that_leaves_the_account_unseen_is_told_once():
-    account = Account()
+def test_an_unaccounted_request_is_logged_once():
+    accounting = AccountingMachine()
     lines = []
-    account.b.log = lambda event, **fields: lines.append((event, fields.get("reqs")))
-    account.arrive(0, 500.0, 0.0)
-    account.work(1)
-    account.b.open_requests.clear()
-    account.pass_time(100.0)
-    account.pass_time(100.0)
-    assert [x for x in lines if x[0] == "account off"] == [("account off", 1)]
-    assert account.b.counters.counts["account_off"] == 1
+    accounting.dispatcher.log = lambda event, **fields: lines.append((event, fields.get("reqs")))
+    accounting.arrive(0, 500.0, 0.0)
+    accounting.handle_messages(1)
+    accounting.dispatcher.open_requests.clear()
+    accounting.pass_time(100.0)
+    accounting.pass_time(100.0)
+    assert [line for line in lines if line[0] == "account off"] == [("account off", 1)]
+    assert accounting.dispatcher.counters.counts["account_off"] == 1
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Every req taken gets exactly one answer in its time, whatever fails between its reading and its end."""
+"""Each request gets exactly one response in time, whatever fails between its reading and its end."""
 
 import time
 
@@ -18,167 +18,173 @@
 from myrtleroad.net.node_config import server_listing
 
 
-def flood(b, n):
-    """Reqs that wait to be taken."""
-    for x in range(n):
-        message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"w%d" % x})
-        rq = i.Request(x + 10, 0, 0, None, b.clock() + 5000.0, 0.0, False)
-        b.mailbox.put(dispatcher.RequestReceived(rq, message, b.clock(), lambda final: None))
+def enqueue_requests(actor, count):
+    """Puts requests into the dispatcher's mailbox that it has not taken yet."""
+    for number in range(count):
+        message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"w%d" % number})
+        request = i.Request(number + 10, 0, 0, None, actor.clock() + 5000.0, 0.0, False)
+        actor.mailbox.put(dispatcher.RequestReceived(request, message, actor.clock(), lambda final: None))
 
 
-def test_endings_of_tries_are_not_behind_reqs_that_wait(monkeypatch):
+def test_attempt_results_do_not_wait_behind_queued_requests(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    b = build_brain(discovery_entry("s-1", AT))
-    answers = taken(b, 1)
-    (job,) = sent(b)
-    flood(b, 5000)
-    runs = gevent.spawn(b.run)
-    # What the try's greenlet does as its answer comes, while the actor works its mailbox off.
-    b.attempt_ended(
+    actor = build_brain(discovery_entry("s-1", AT))
+    responses = taken(actor, 1)
+    (job,) = sent(actor)
+    enqueue_requests(actor, 5000)
+    running = gevent.spawn(actor.run)
+    # As the attempt's greenlet does when its response arrives while the dispatcher works through its mailbox.
+    actor.attempt_ended(
         upstream_server.AttemptResult(job, i.Outcome.COMPLETED, 5.0, UpstreamResponse(200, [], [b"hi"]))
     )
-    while not answers:
+    while not responses:
         gevent.sleep(0)
-    taken_by_then = b.counters.counts["reqs_taken"]
-    runs.kill()
-    assert answers[0].status == 200 and taken_by_then < 50
+    taken_by_then = actor.counters.counts["reqs_taken"]
+    running.kill()
+    assert responses[0].status == 200 and taken_by_then < 50
 
 
-def test_a_try_that_an_actor_cannot_begin_has_its_ending(monkeypatch):
-    got, told = [], build_node_config(discovery_entry("s-1", AT))
-    m = upstream_server.UpstreamServer(
-        AT, told, Clock(), Counters(), upstream_server.ConnectionBudget(9), got.append, lambda job: True
+def test_an_attempt_that_the_server_actor_cannot_start_still_has_an_outcome(monkeypatch):
+    results, config = [], build_node_config(discovery_entry("s-1", AT))
+    server = upstream_server.UpstreamServer(
+        AT, config, Clock(), Counters(), upstream_server.ConnectionBudget(9), results.append, lambda job: True
     )
-    monkeypatch.setattr(m, "take_idle", lambda: 1 / 0)
-    job = upstream_server.AttemptJob(1, 0, 0, dispatcher.Message(), m.clock(), m.clock() + 900.0, ())
-    m.mailbox.put(upstream_server.StartAttempt(job))
+    monkeypatch.setattr(server, "take_idle", lambda: 1 / 0)
+    job = upstream_server.AttemptJob(
+        1, 0, 0, dispatcher.Message(), server.clock(), server.clock() + 900.0, ()
+    )
+    server.mailbox.put(upstream_server.StartAttempt(job))
     with pytest.raises(ZeroDivisionError):
-        m.run()
-    assert [(x.job, x.outcome) for x in got] == [(job, i.Outcome.MOOT)] and not m.running
+        server.run()
+    assert [(result.job, result.outcome) for result in results] == [
+        (job, i.Outcome.MOOT)
+    ] and not server.running
 
 
-def test_a_fault_while_a_req_is_read_is_told_to_its_client(monkeypatch):
-    d, waiting = build_door()
-    monkeypatch.setattr(d, "req", lambda *args: 1 / 0)
-    sock = client(d)
+def test_a_fault_while_a_request_is_read_gets_its_client_a_500(monkeypatch):
+    listener, received = build_door()
+    monkeypatch.setattr(listener, "req", lambda *args: 1 / 0)
+    sock = client(listener)
     sock.sendall(GOOD)
     code, head, _ = status(sock)
     assert code == 500 and b"Connection: close" in head and sock.recv(1) == b""
-    assert waiting.empty()
+    assert received.empty()
 
 
-def test_answers_after_their_time_are_named_in_the_log_by_id_a_few_a_second():
+def test_overdue_responses_are_logged_by_request_id_a_few_per_second():
     lines = []
-    b = build_brain(discovery_entry("s-1", AT))
-    start = b.clock()
-    b.overdue_warnings = RateLimitedWarnings(
+    actor = build_brain(discovery_entry("s-1", AT))
+    start = actor.clock()
+    actor.overdue_warnings = RateLimitedWarnings(
         lambda event, **fields: lines.append((fields["txn"], fields.get("left_out"))), 2
     )
-    for n in range(1, 7):
-        taken(b, n, within=900.0)
-    b.clock = lambda: start + 1000.0
-    b.expire_requests(start + 1000.0)
+    for number in range(1, 7):
+        taken(actor, number, within=900.0)
+    actor.clock = lambda: start + 1000.0
+    actor.expire_requests(start + 1000.0)
     assert lines == [("a1", None), ("a2", None)]
-    b.overdue_warnings("answer overdue", start + 2000.0, txn="z")
-    assert lines[-1] == ("z", 4) and b.counters.counts["answers_overdue"] == 6
+    actor.overdue_warnings("answer overdue", start + 2000.0, txn="z")
+    assert lines[-1] == ("z", 4) and actor.counters.counts["answers_overdue"] == 6
 
 
-def test_a_burst_is_served_and_a_standing_queue_cut_from_its_head():
-    entry = AdmissionControl([800.0, 750.0])  # a wait of 75 ms is over the target; it stands after 150
-    assert {entry.decide(300.0, 500.0, now) for now in (0.0, 50.0, 149.0)} == {AdmissionDecision.TAKE}
-    assert entry.decide(200.0, 500.0, 150.0) == AdmissionDecision.STANDING
-    assert entry.decide(20.0, 500.0, 160.0) == AdmissionDecision.TAKE  # the queue has emptied
-    assert entry.decide(200.0, 500.0, 170.0) == AdmissionDecision.TAKE
-    assert entry.decide(10.0, 0.0, 180.0) == AdmissionDecision.OVER
+def test_a_burst_is_admitted_and_a_standing_queue_is_shed_from_its_head():
+    admission = AdmissionControl([800.0, 750.0])  # target 75 ms; above it for 150 ms, the queue is standing
+    assert {admission.decide(300.0, 500.0, now) for now in (0.0, 50.0, 149.0)} == {AdmissionDecision.TAKE}
+    assert admission.decide(200.0, 500.0, 150.0) == AdmissionDecision.STANDING
+    assert admission.decide(20.0, 500.0, 160.0) == AdmissionDecision.TAKE  # the queue has emptied
+    assert admission.decide(200.0, 500.0, 170.0) == AdmissionDecision.TAKE
+    assert admission.decide(10.0, 0.0, 180.0) == AdmissionDecision.OVER
 
 
-def held_loop(d, clients_of, ms):
-    """These clients ask, and the loop is held before anything of it is read."""
-    for sock in clients_of:
+def send_and_block_loop(listener, socks, block_ms):
+    """Sends a request to the listener on each socket and blocks the event loop before any of it is read."""
+    for sock in socks:
         sock.sendall(GOOD)
-    time.sleep(ms / 1000)
+    time.sleep(block_ms / 1000)
 
 
-def test_what_a_req_waited_unread_is_taken_off_its_time():
-    d, waiting = build_door()
-    kept, fresh = client(d), client(d)
+def test_the_time_that_a_request_waited_unread_is_deducted_from_its_deadline():
+    listener, received = build_door()
+    kept, fresh = client(listener), client(listener)
     kept.sendall(GOOD)
-    waiting.get().respond(response.shed(0.0))
+    received.get().respond(response.shed(0.0))
     assert status(kept)[0] == 503
     gevent.sleep(0.01)
-    before = d.clock()
-    held_loop(d, [kept, fresh], 100.0)
+    before = listener.clock()
+    send_and_block_loop(listener, [kept, fresh], 100.0)
     for _ in range(2):
-        message = waiting.get()
+        message = received.get()
         assert (
             before + 480 <= message.request.deadline + 6.0 and message.request.deadline <= before + 480 + 20.0
         )
         assert message.read_delay_ms >= 90.0
 
 
-def test_a_req_whose_time_is_over_before_it_is_read_is_refused_at_once_and_says_so():
-    d, waiting = build_door()
-    lines, sock = [], client(d)
-    d.early = lambda event, now, **fields: lines.append((event, fields["txn"], fields["why"]))
+def test_a_request_whose_deadline_passed_unread_is_shed_at_once_and_logged():
+    listener, received = build_door()
+    lines, sock = [], client(listener)
+    listener.early = lambda event, now, **fields: lines.append((event, fields["txn"], fields["why"]))
     gevent.sleep(0.01)
-    held_loop(d, [sock], 60.0)
-    short, late = client(d), GOOD.replace(b"480", b"50").replace(b"X-Txn: 1", b"X-Txn: 2")
+    send_and_block_loop(listener, [sock], 60.0)
+    short, late = client(listener), GOOD.replace(b"480", b"50").replace(b"X-Txn: 1", b"X-Txn: 2")
     short.sendall(late)
     time.sleep(0.06)
     code, head, _ = status(short)
     assert code == 503 and b"Retry-After: 0.500" in head
     assert lines == [("req refused unread", "2", "OVER")]
-    assert waiting.get().request.id and waiting.empty()  # the other one had time left
+    assert received.get().request.id and received.empty()  # the other request had time left
 
 
-def test_a_hundred_reqs_beyond_all_descriptors_are_refused_at_once_and_those_held_answered():
-    d, waiting = build_door(sockets=30)  # three clients' worth
-    held = [client(d) for _ in range(3)]
-    for n, sock in enumerate(held):
-        sock.sendall(GOOD.replace(b"X-Txn: 1", b"X-Txn: h%d" % n))
-    messages = [waiting.get() for _ in held]
+def test_100_connections_beyond_the_limit_are_shed_at_once_and_held_requests_are_answered():
+    listener, received = build_door(sockets=30)  # room for three clients
+    held = [client(listener) for _ in range(3)]
+    for number, sock in enumerate(held):
+        sock.sendall(GOOD.replace(b"X-Txn: 1", b"X-Txn: h%d" % number))
+    messages = [received.get() for _ in held]
     more = []
     for _ in range(100):
-        more.append(client(d))
+        more.append(client(listener))
         more[-1].sendall(GOOD)
     for sock in more:
         code, head, _ = status(sock)
         assert code == 503 and b"Connection: close" in head and b"Retry-After" in head
-    assert waiting.empty() and len(d.clients) <= d.most + d.BRIEF
+    assert received.empty() and len(listener.clients) <= listener.most + listener.BRIEF
     for message in messages:
         message.respond(response.bad_gateway())
     assert [status(sock)[0] for sock in held] == [502] * 3
-    assert d.counters.counts["reqs_full"] == 100
+    assert listener.counters.counts["reqs_full"] == 100
 
 
-def handed(b):
-    """The tries in the mailboxes of all machines."""
-    waiting = [a.mailbox.get() for a in b.servers.values() for _ in range(a.mailbox.qsize())]
-    return [m.job for m in waiting if isinstance(m, upstream_server.StartAttempt)]
+def dispatched_jobs(actor):
+    """Takes the attempts out of the mailboxes of all servers."""
+    messages = [
+        server.mailbox.get() for server in actor.servers.values() for _ in range(server.mailbox.qsize())
+    ]
+    return [message.job for message in messages if isinstance(message, upstream_server.StartAttempt)]
 
 
-def test_a_hundred_and_fifty_of_1024_machines_gone_in_one_line_lose_no_req():
-    entries = [discovery_entry(f"s-{n}", AT) for n in range(1024)]
-    b = build_brain(*entries)
-    answers = [taken(b, n) for n in range(1, 301)]
-    jobs = handed(b)
+def test_no_request_is_lost_when_150_of_1024_servers_terminate_in_one_list_update():
+    entries = [discovery_entry(f"s-{number}", AT) for number in range(1024)]
+    actor = build_brain(*entries)
+    responses = [taken(actor, number) for number in range(1, 301)]
+    jobs = dispatched_jobs(actor)
     assert len(jobs) == 300
-    gone = [e | {"lifecycle": "terminated"} for e in entries[:150]]
-    told = {"generation": 8, "reset": False, "instances": gone}
-    b.post_update(server_listing(told, {"here": 0}, {"small": 0}))
-    b.apply_updates()
-    forbidden = [job for job in jobs if not b.preconditions_hold(job)]
+    terminated = [entry | {"lifecycle": "terminated"} for entry in entries[:150]]
+    update = {"generation": 8, "reset": False, "instances": terminated}
+    actor.post_update(server_listing(update, {"here": 0}, {"small": 0}))
+    actor.apply_updates()
+    forbidden = [job for job in jobs if not actor.preconditions_hold(job)]
     assert {job.server for job in forbidden} == {job.server for job in jobs if job.server < 150}
     for job in jobs:
         if job in forbidden:
-            ends(b, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
+            ends(actor, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
         else:
-            ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
-    again = handed(b)
+            ends(actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+    again = dispatched_jobs(actor)
     assert len(again) == len(forbidden) and all(job.server >= 150 for job in again)
     for job in again:
-        ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
-    assert all([a.status for a in got] == [200] for got in answers) and balanced(b)
-    b.post_update(server_listing(told | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0}))
-    b.apply_updates()  # those that had tries out go with the next list
-    assert len(b.servers) == 1024 - 150 and not b.ids_in_use
+        ends(actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+    assert all([final.status for final in each] == [200] for each in responses) and balanced(actor)
+    actor.post_update(server_listing(update | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0}))
+    actor.apply_updates()  # servers that still had attempts are removed with the next list
+    assert len(actor.servers) == 1024 - 150 and not actor.ids_in_use
--- a/tests/test_answers_faults.py
+++ b/tests/test_answers_faults.py
@@ -1,4 +1,4 @@
-"""Faults as a request is read, taken, ended or answered; answers that are long, late or cannot be made."""
+"""Faults while a request is read, taken, ended or answered; responses that are large, late or broken."""
 
 import gevent
 import pytest
@@ -6,7 +6,7 @@
 from gevent import socket
 from hypothesis import given
 from hypothesis import strategies as st
-from test_answers import flood, held_loop
+from test_answers import enqueue_requests, send_and_block_loop
 from test_door import GOOD, build_door, client, status
 from test_front import AT, balanced, build_brain, ends, sent, taken
 
@@ -16,81 +16,81 @@
 from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
 
 
-def test_a_req_that_nothing_ends_is_answered_as_failed_at_its_time():
-    b = build_brain(discovery_entry("s-1", AT))
-    answers, others = taken(b, 1, within=20.0), taken(b, 2, within=900.0)
-    b.expire_requests(b.clock())
-    assert not answers
-    b.next_expiry_check = 0.0
-    b.expire_requests(b.clock() + 20.0 + dispatcher.DEADLINE_SLACK_MS + 1)
-    assert [a.status for a in answers] == [502] and not others
-    assert b.counters.counts["reqs_expired"] == 1 and balanced(b)
-    late, _ = sent(b)
-    ends(b, late, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
-    assert len(answers) == 1 and balanced(b)
+def test_a_request_without_an_outcome_is_answered_with_502_at_its_deadline():
+    actor = build_brain(discovery_entry("s-1", AT))
+    responses, others = taken(actor, 1, within=20.0), taken(actor, 2, within=900.0)
+    actor.expire_requests(actor.clock())
+    assert not responses
+    actor.next_expiry_check = 0.0
+    actor.expire_requests(actor.clock() + 20.0 + dispatcher.DEADLINE_SLACK_MS + 1)
+    assert [final.status for final in responses] == [502] and not others
+    assert actor.counters.counts["reqs_expired"] == 1 and balanced(actor)
+    late, _ = sent(actor)
+    ends(actor, late, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
+    assert len(responses) == 1 and balanced(actor)
 
 
-def test_a_mailbox_worked_off_lets_others_have_their_turn(monkeypatch):
+def test_the_dispatcher_yields_to_other_greenlets_while_it_works_through_its_mailbox(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    b = build_brain(discovery_entry("s-1", AT))
-    flood(b, 500)
-    runs = gevent.spawn(b.run)
+    actor = build_brain(discovery_entry("s-1", AT))
+    enqueue_requests(actor, 500)
+    running = gevent.spawn(actor.run)
     turns = 0
-    while b.mailbox.qsize():
+    while actor.mailbox.qsize():
         gevent.sleep(0)
         turns += 1
-    runs.kill()
+    running.kill()
     assert turns > 10
 
 
 @pytest.mark.parametrize("end", [i.Outcome.COMPLETED, i.Outcome.RESET])
-def test_a_fault_at_an_ending_answers_its_req_at_once_and_no_other(monkeypatch, end):
-    b = build_brain(discovery_entry("s-1", AT))
-    answers, others = taken(b, 1), taken(b, 2)
-    job, _ = sent(b)
-    monkeypatch.setattr(b, "load_report", lambda message: 1 / 0)
+def test_a_fault_in_handling_an_outcome_fails_that_request_at_once_and_no_other(monkeypatch, end):
+    actor = build_brain(discovery_entry("s-1", AT))
+    responses, others = taken(actor, 1), taken(actor, 2)
+    job, _ = sent(actor)
+    monkeypatch.setattr(actor, "load_report", lambda message: 1 / 0)
     result = (
         UpstreamResponse(200)
         if end == i.Outcome.COMPLETED
         else ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED)
     )
-    b.ended_attempts.append(upstream_server.AttemptResult(job, end, 5.0, result))
-    b.process_ended_attempts()
-    assert [a.status for a in answers] == [502] and not others
-    assert b.counters.counts["faults"] == 1 and balanced(b)
-
-
-def test_a_fault_as_a_req_is_taken_answers_it_at_once(monkeypatch):
-    b = build_brain(discovery_entry("s-1", AT))
-    monkeypatch.setattr(b, "record_delay", lambda *args: 1 / 0)
-    answers = []
-    rq, message = (
-        i.Request(1, 0, 0, None, b.clock() + 900.0, 0.0, False),
+    actor.ended_attempts.append(upstream_server.AttemptResult(job, end, 5.0, result))
+    actor.process_ended_attempts()
+    assert [final.status for final in responses] == [502] and not others
+    assert actor.counters.counts["faults"] == 1 and balanced(actor)
+
+
+def test_a_fault_in_taking_a_request_answers_it_at_once(monkeypatch):
+    actor = build_brain(discovery_entry("s-1", AT))
+    monkeypatch.setattr(actor, "record_delay", lambda *args: 1 / 0)
+    responses = []
+    request, message = (
+        i.Request(1, 0, 0, None, actor.clock() + 900.0, 0.0, False),
         dispatcher.Message(fields={b"x-txn": b"1"}),
     )
-    b.handle(dispatcher.RequestReceived(rq, message, b.clock(), answers.append))
-    assert [a.status for a in answers] == [502] and not b.open_requests
+    actor.handle(dispatcher.RequestReceived(request, message, actor.clock(), responses.append))
+    assert [final.status for final in responses] == [502] and not actor.open_requests
 
 
-def test_a_fault_in_a_reader_leaves_the_held_req_its_answer(monkeypatch):
-    d, waiting = build_door()
-    sock = client(d)
+def test_a_fault_in_reading_a_connection_does_not_lose_the_response_to_its_held_request(monkeypatch):
+    listener, received = build_door()
+    sock = client(listener)
     sock.sendall(GOOD)
-    message = waiting.get()
-    (held,) = d.clients
-    monkeypatch.setattr(type(held), "awaited", lambda self: 1 / 0)
+    message = received.get()
+    (connection,) = listener.clients
+    monkeypatch.setattr(type(connection), "awaited", lambda self: 1 / 0)
     sock.sendall(b"more")
-    while not d.counters.counts["faults"]:
+    while not listener.counters.counts["faults"]:
         gevent.sleep(0.001)
     message.respond(response.bad_gateway())
-    assert status(sock)[0] == 502 and waiting.empty()
+    assert status(sock)[0] == 502 and received.empty()
 
 
-def test_a_second_answer_to_one_req_is_not_written():
-    d, waiting = build_door()
-    sock = client(d)
+def test_a_second_response_to_the_same_request_is_not_written():
+    listener, received = build_door()
+    sock = client(listener)
     sock.sendall(GOOD)
-    message = waiting.get()
+    message = received.get()
     message.respond(response.bad_gateway())
     message.respond(response.shed(0.0))
     assert status(sock)[0] == 502
@@ -100,71 +100,76 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 400.0), st.floats(0.0, 30.0)), max_size=60))
-def test_none_is_refused_whose_wait_is_short_and_none_of_a_short_spell(waits):
-    entry, now, since = AdmissionControl([500.0]), 0.0, None
-    for age, step in waits:
-        now += step
-        since = None if age <= 50.0 else now if since is None else since
-        word = entry.decide(age, 1000.0, now)
-        assert (word == AdmissionDecision.STANDING) == (since is not None and now - since >= 100.0)
-
-
-def test_a_crowd_that_waits_is_refused_and_the_front_serves_again_after_it():
-    d, waiting = build_door()
-    d.entry.target_ms = 10.0
-    socks = [client(d) for _ in range(30)]
+def test_only_requests_of_a_standing_queue_are_shed(requests):
+    """Each pair is a read delay and the time since the request before, in ms; the target is 50 ms."""
+    admission, now, above_since = AdmissionControl([500.0]), 0.0, None
+    for read_delay_ms, step_ms in requests:
+        now += step_ms
+        above_since = None if read_delay_ms <= 50.0 else now if above_since is None else above_since
+        decision = admission.decide(read_delay_ms, 1000.0, now)
+        assert (decision == AdmissionDecision.STANDING) == (
+            above_since is not None and now - above_since >= 100.0
+        )
+
+
+def test_a_standing_queue_of_30_connections_is_shed_and_requests_are_admitted_after_it():
+    listener, received = build_door()
+    listener.entry.target_ms = 10.0
+    socks = [client(listener) for _ in range(30)]
     gevent.sleep(0.01)
-    took = 0
+    admitted = 0
     for _ in range(3):
-        held_loop(d, socks, 30.0)
+        send_and_block_loop(listener, socks, 30.0)
         gevent.sleep(0.005)
-        while waiting.qsize():
-            waiting.get().respond(response.shed(0.0))
-            took += 1
+        while received.qsize():
+            received.get().respond(response.shed(0.0))
+            admitted += 1
         assert {status(sock)[0] for sock in socks} == {503}
-    assert took == 30 and d.counters.counts["reqs_unread_standing"] == 60
+    assert admitted == 30 and listener.counters.counts["reqs_unread_standing"] == 60
     gevent.sleep(0.02)
     socks[0].sendall(GOOD)
-    assert waiting.get().read_delay_ms < 10.0
+    assert received.get().read_delay_ms < 10.0
 
 
-def test_a_req_that_waited_in_our_own_mailbox_is_refused_before_the_module_sees_it(monkeypatch):
-    b = build_brain(discovery_entry("s-1", AT))
-    answers = []
-    rq, message = (
-        i.Request(1, 0, 0, None, b.clock() + 30.0, 0.0, False),
+def test_a_request_that_waited_too_long_in_the_mailbox_is_shed_before_dispatch(monkeypatch):
+    actor = build_brain(discovery_entry("s-1", AT))
+    responses = []
+    request, message = (
+        i.Request(1, 0, 0, None, actor.clock() + 30.0, 0.0, False),
         dispatcher.Message(fields={b"x-txn": b"1"}),
     )
-    b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 40.0, answers.append, 20.0))
-    assert not answers  # it has time left, and one wait is no standing queue
-    b.admission.above_target_since = b.clock() - 1000.0
-    b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 70.0, answers.append, 20.0))
-    assert [a.status for a in answers] == [503] and b.counters.counts["reqs_waited_standing"] == 1
-    assert b.counters.counts["reqs_taken"] == 1 and balanced(b)
+    actor.handle(dispatcher.RequestReceived(request, message, actor.clock() - 40.0, responses.append, 20.0))
+    assert not responses  # it has time left, and one delay is no standing queue
+    actor.admission.above_target_since = actor.clock() - 1000.0
+    actor.handle(dispatcher.RequestReceived(request, message, actor.clock() - 70.0, responses.append, 20.0))
+    assert [final.status for final in responses] == [503] and (
+        actor.counters.counts["reqs_waited_standing"] == 1
+    )
+    assert actor.counters.counts["reqs_taken"] == 1 and balanced(actor)
 
 
-def test_an_answer_longer_than_the_buffers_is_written_whole_to_a_slow_reader():
-    d, waiting = build_door()
-    sock = client(d)
+def test_a_response_larger_than_the_socket_buffers_reaches_a_slow_reader_whole():
+    listener, received = build_door()
+    sock = client(listener)
     sock.sendall(GOOD)
-    message = waiting.get()
-    (held,) = d.clients
-    held.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    message = received.get()
+    (connection,) = listener.clients
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     body = b"x" * 400_000
     message.respond(response.completed(UpstreamResponse(200, [], [body])))
-    assert held.written is not None
-    code, _, got = status(sock)
-    assert code == 200 and got == body
+    assert connection.written is not None
+    code, _, received_body = status(sock)
+    assert code == 200 and received_body == body
 
 
-def test_an_answer_that_cannot_be_made_ends_its_connection_without_one(monkeypatch):
-    d, waiting = build_door()
-    sock = client(d)
+def test_a_response_that_cannot_be_built_becomes_a_502_that_closes_the_connection(monkeypatch):
+    listener, received = build_door()
+    sock = client(listener)
     sock.sendall(GOOD)
     final = response.completed(UpstreamResponse(200))
     monkeypatch.setattr(final, "status", 9999)
-    waiting.get().respond(final)
-    assert status(sock)[0] == 502 and d.counters.counts["faults"] == 1
+    received.get().respond(final)
+    assert status(sock)[0] == 502 and listener.counters.counts["faults"] == 1
     assert sock.recv(1) == b""
-    while d.clients:
+    while listener.clients:
         gevent.sleep(0.001)
