--- a/myrtleroad/admission/admission_control.py
+++ b/myrtleroad/admission/admission_control.py
@@ -1,6 +1,6 @@
 """Admission control: sheds requests that waited too long to be read, before the decision module gets them.
 
-Requests beyond what a front can carry wait in the listen queue, in socket buffers and for the event loop. If
+Requests beyond a front's capacity wait in the listen queue, in socket buffers and for the event loop. If
 they are served in order, every request is late, and the work done for it is wasted. The queue shrinks only by
 shedding, which has to cost less than serving. The rule follows controlled delay (K. Nichols, V. Jacobson,
 "Controlling Queue Delay", ACM Queue 10(5), 2012): a short queue is a burst and is served; a standing queue is
@@ -23,9 +23,9 @@
     """Decides by how long requests waited unread. ``objectives_ms``: latency objectives of the routes."""
 
     # Share of the shortest objective: ten such delays fit into it, so that one alone makes few requests late.
-    # The minimum is there because one turn of the event loop takes some ms under load.
+    # The minimum is there because one iteration of the event loop takes some ms under load.
     TARGET_OBJECTIVE_SHARE, MIN_TARGET_MS = 0.1, 20.0
-    # In targets: a delay that stays above the target for so long isn't a burst of arrivals within one target.
+    # In multiples of the target: a delay that stays above it for so long isn't a burst within one target.
     INTERVAL_TARGETS = 2.0
 
     def __init__(self, objectives_ms: Iterable[float]):
--- a/myrtleroad/request_coroutine.py
+++ b/myrtleroad/request_coroutine.py
@@ -1,4 +1,4 @@
-"""Drives the generator of one request, the same in the simulator and on sockets. Decides nothing itself."""
+"""Runs the generator of one request, in the simulator and on sockets alike. Contains no decisions."""
 
 from collections.abc import Generator, Iterator
 
@@ -6,7 +6,7 @@
 
 
 class RequestCoroutine:
-    """An open request: its generator and its current wait. A timer set in an earlier wait is void."""
+    """An open request: its generator and its current wait. Timers of earlier waits have no effect."""
 
     __slots__ = ("generator", "max_wait_ms", "request_id", "started", "wait_number")
 
@@ -19,7 +19,7 @@
         self.max_wait_ms: float | None = None  # of the current wait; None if it has no timeout
 
     def resume(self, result: i.AttemptEnded | None, now: float) -> Iterator[i.Action]:
-        """Yields the actions up to the next wait. After the last action there is none, see ``finished``.
+        """Yields the actions up to the next wait. After the last action there is no wait, see ``finished``.
 
         ``result``: the outcome that ends the current wait; None at the start and if the wait has timed out.
         """
@@ -43,11 +43,11 @@
         return self.generator.gi_frame is None
 
     def cancel_timeout(self) -> None:
-        """Removes the timeout of the current wait and voids the timer that was set for it."""
+        """Removes the timeout of the current wait and invalidates the timer that was set for it."""
         self.wait_number += 1
         self.max_wait_ms = None
 
     def close(self) -> None:
-        """Ends the request wherever its generator is; ``finished`` is true from then on."""
+        """Closes the generator, whichever action it has reached; ``finished`` is true from then on."""
         self.generator.close()
         self.cancel_timeout()
--- a/myrtleroad/settings.py
+++ b/myrtleroad/settings.py
@@ -16,7 +16,7 @@
 
 
 def ns_to_ms(duration_ns: int | None) -> float:
-    """Milliseconds of a duration in ns, as durations are in the settings; 0.0 if there is none."""
+    """Converts a duration of the settings, which is in ns, to ms; 0.0 if there is none."""
     return (duration_ns or 0) / NS_PER_MS
 
 
--- a/tests/test_answers.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Each request gets exactly one response in time, whatever fails between its reading and its end."""
+"""Each request gets exactly one response by its deadline, whatever fails while it is processed."""
 
 import time
 
@@ -18,36 +18,44 @@
 from myrtleroad.net.node_config import server_listing
 
 
-def enqueue_requests(actor, count):
-    """Puts requests into the dispatcher's mailbox that it has not taken yet."""
+def enqueue_requests(dispatcher_actor, count):
+    """Puts requests into a dispatcher's mailbox without letting the dispatcher process them."""
     for number in range(count):
         message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"w%d" % number})
-        request = i.Request(number + 10, 0, 0, None, actor.clock() + 5000.0, 0.0, False)
-        actor.mailbox.put(dispatcher.RequestReceived(request, message, actor.clock(), lambda final: None))
+        request = i.Request(number + 10, 0, 0, None, dispatcher_actor.clock() + 5000.0, 0.0, False)
+        dispatcher_actor.mailbox.put(
+            dispatcher.RequestReceived(request, message, dispatcher_actor.clock(), lambda final: None)
+        )
 
 
 def test_attempt_results_do_not_wait_behind_queued_requests(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    actor = build_brain(discovery_entry("s-1", AT))
-    responses = taken(actor, 1)
-    (job,) = sent(actor)
-    enqueue_requests(actor, 5000)
-    running = gevent.spawn(actor.run)
-    # As the attempt's greenlet does when its response arrives while the dispatcher works through its mailbox.
-    actor.attempt_ended(
+    dispatcher_actor = build_brain(discovery_entry("s-1", AT))
+    responses = taken(dispatcher_actor, 1)
+    (job,) = sent(dispatcher_actor)
+    enqueue_requests(dispatcher_actor, 5000)
+    running = gevent.spawn(dispatcher_actor.run)
+    # The attempt's greenlet does this when its response arrives while the dispatcher processes its mailbox.
+    dispatcher_actor.attempt_ended(
         upstream_server.AttemptResult(job, i.Outcome.COMPLETED, 5.0, UpstreamResponse(200, [], [b"hi"]))
     )
     while not responses:
         gevent.sleep(0)
-    taken_by_then = actor.counters.counts["reqs_taken"]
+    received_by_then = dispatcher_actor.counters.counts["reqs_taken"]
     running.kill()
-    assert responses[0].status == 200 and taken_by_then < 50
+    assert responses[0].status == 200 and received_by_then < 50
 
 
 def test_an_attempt_that_the_server_actor_cannot_start_still_has_an_outcome(monkeypatch):
-    results, config = [], build_node_config(discovery_entry("s-1", AT))
+    results, node_config = [], build_node_config(discovery_entry("s-1", AT))
     server = upstream_server.UpstreamServer(
-        AT, config, Clock(), Counters(), upstream_server.ConnectionBudget(9), results.append, lambda job: True
+        AT,
+        node_config,
+        Clock(),
+        Counters(),
+        upstream_server.ConnectionBudget(9),
+        results.append,
+        lambda job: True,
     )
     monkeypatch.setattr(server, "take_idle", lambda: 1 / 0)
     job = upstream_server.AttemptJob(
@@ -56,9 +64,7 @@
     server.mailbox.put(upstream_server.StartAttempt(job))
     with pytest.raises(ZeroDivisionError):
         server.run()
-    assert [(result.job, result.outcome) for result in results] == [
-        (job, i.Outcome.MOOT)
-    ] and not server.running
+    assert [(each.job, each.outcome) for each in results] == [(job, i.Outcome.MOOT)] and not server.running
 
 
 def test_a_fault_while_a_request_is_read_gets_its_client_a_500(monkeypatch):
@@ -73,22 +79,22 @@
 
 def test_overdue_responses_are_logged_by_request_id_a_few_per_second():
     lines = []
-    actor = build_brain(discovery_entry("s-1", AT))
-    start = actor.clock()
-    actor.overdue_warnings = RateLimitedWarnings(
+    dispatcher_actor = build_brain(discovery_entry("s-1", AT))
+    start = dispatcher_actor.clock()
+    dispatcher_actor.overdue_warnings = RateLimitedWarnings(
         lambda event, **fields: lines.append((fields["txn"], fields.get("left_out"))), 2
     )
     for number in range(1, 7):
-        taken(actor, number, within=900.0)
-    actor.clock = lambda: start + 1000.0
-    actor.expire_requests(start + 1000.0)
+        taken(dispatcher_actor, number, within=900.0)
+    dispatcher_actor.clock = lambda: start + 1000.0
+    dispatcher_actor.expire_requests(start + 1000.0)
     assert lines == [("a1", None), ("a2", None)]
-    actor.overdue_warnings("answer overdue", start + 2000.0, txn="z")
-    assert lines[-1] == ("z", 4) and actor.counters.counts["answers_overdue"] == 6
+    dispatcher_actor.overdue_warnings("answer overdue", start + 2000.0, txn="z")
+    assert lines[-1] == ("z", 4) and dispatcher_actor.counters.counts["answers_overdue"] == 6
 
 
 def test_a_burst_is_admitted_and_a_standing_queue_is_shed_from_its_head():
-    admission = AdmissionControl([800.0, 750.0])  # target 75 ms; above it for 150 ms, the queue is standing
+    admission = AdmissionControl([800.0, 750.0])  # target 75 ms; a queue above it for 150 ms is standing
     assert {admission.decide(300.0, 500.0, now) for now in (0.0, 50.0, 149.0)} == {AdmissionDecision.TAKE}
     assert admission.decide(200.0, 500.0, 150.0) == AdmissionDecision.STANDING
     assert admission.decide(20.0, 500.0, 160.0) == AdmissionDecision.TAKE  # the queue has emptied
@@ -97,7 +103,7 @@
 
 
 def send_and_block_loop(listener, socks, block_ms):
-    """Sends a request to the listener on each socket and blocks the event loop before any of it is read."""
+    """Sends a request to the listener on each socket and blocks the event loop before any request is read."""
     for sock in socks:
         sock.sendall(GOOD)
     time.sleep(block_ms / 1000)
@@ -105,17 +111,18 @@
 
 def test_the_time_that_a_request_waited_unread_is_deducted_from_its_deadline():
     listener, received = build_door()
-    kept, fresh = client(listener), client(listener)
-    kept.sendall(GOOD)
+    reused, new = client(listener), client(listener)
+    reused.sendall(GOOD)
     received.get().respond(response.shed(0.0))
-    assert status(kept)[0] == 503
+    assert status(reused)[0] == 503
     gevent.sleep(0.01)
-    before = listener.clock()
-    send_and_block_loop(listener, [kept, fresh], 100.0)
+    sent_after = listener.clock()
+    send_and_block_loop(listener, [reused, new], 100.0)
     for _ in range(2):
         message = received.get()
         assert (
-            before + 480 <= message.request.deadline + 6.0 and message.request.deadline <= before + 480 + 20.0
+            sent_after + 480 <= message.request.deadline + 6.0
+            and message.request.deadline <= sent_after + 480 + 20.0
         )
         assert message.read_delay_ms >= 90.0
 
@@ -126,65 +133,72 @@
     listener.early = lambda event, now, **fields: lines.append((event, fields["txn"], fields["why"]))
     gevent.sleep(0.01)
     send_and_block_loop(listener, [sock], 60.0)
-    short, late = client(listener), GOOD.replace(b"480", b"50").replace(b"X-Txn: 1", b"X-Txn: 2")
-    short.sendall(late)
+    expired_sock, expired_request = (
+        client(listener),
+        GOOD.replace(b"480", b"50").replace(b"X-Txn: 1", b"X-Txn: 2"),
+    )
+    expired_sock.sendall(expired_request)
     time.sleep(0.06)
-    code, head, _ = status(short)
+    code, head, _ = status(expired_sock)
     assert code == 503 and b"Retry-After: 0.500" in head
     assert lines == [("req refused unread", "2", "OVER")]
     assert received.get().request.id and received.empty()  # the other request had time left
 
 
-def test_100_connections_beyond_the_limit_are_shed_at_once_and_held_requests_are_answered():
+def test_100_connections_beyond_the_limit_are_shed_at_once_and_open_requests_are_answered():
     listener, received = build_door(sockets=30)  # room for three clients
-    held = [client(listener) for _ in range(3)]
-    for number, sock in enumerate(held):
+    open_socks = [client(listener) for _ in range(3)]
+    for number, sock in enumerate(open_socks):
         sock.sendall(GOOD.replace(b"X-Txn: 1", b"X-Txn: h%d" % number))
-    messages = [received.get() for _ in held]
-    more = []
+    messages = [received.get() for _ in open_socks]
+    excess_socks = []
     for _ in range(100):
-        more.append(client(listener))
-        more[-1].sendall(GOOD)
-    for sock in more:
+        excess_socks.append(client(listener))
+        excess_socks[-1].sendall(GOOD)
+    for sock in excess_socks:
         code, head, _ = status(sock)
         assert code == 503 and b"Connection: close" in head and b"Retry-After" in head
     assert received.empty() and len(listener.clients) <= listener.most + listener.BRIEF
     for message in messages:
         message.respond(response.bad_gateway())
-    assert [status(sock)[0] for sock in held] == [502] * 3
+    assert [status(sock)[0] for sock in open_socks] == [502] * 3
     assert listener.counters.counts["reqs_full"] == 100
 
 
-def dispatched_jobs(actor):
-    """Takes the attempts out of the mailboxes of all servers."""
+def dispatched_jobs(dispatcher_actor):
+    """Removes and returns the attempts in the mailboxes of all servers."""
     messages = [
-        server.mailbox.get() for server in actor.servers.values() for _ in range(server.mailbox.qsize())
+        server.mailbox.get()
+        for server in dispatcher_actor.servers.values()
+        for _ in range(server.mailbox.qsize())
     ]
     return [message.job for message in messages if isinstance(message, upstream_server.StartAttempt)]
 
 
 def test_no_request_is_lost_when_150_of_1024_servers_terminate_in_one_list_update():
     entries = [discovery_entry(f"s-{number}", AT) for number in range(1024)]
-    actor = build_brain(*entries)
-    responses = [taken(actor, number) for number in range(1, 301)]
-    jobs = dispatched_jobs(actor)
+    dispatcher_actor = build_brain(*entries)
+    responses = [taken(dispatcher_actor, number) for number in range(1, 301)]
+    jobs = dispatched_jobs(dispatcher_actor)
     assert len(jobs) == 300
     terminated = [entry | {"lifecycle": "terminated"} for entry in entries[:150]]
     update = {"generation": 8, "reset": False, "instances": terminated}
-    actor.post_update(server_listing(update, {"here": 0}, {"small": 0}))
-    actor.apply_updates()
-    forbidden = [job for job in jobs if not actor.preconditions_hold(job)]
-    assert {job.server for job in forbidden} == {job.server for job in jobs if job.server < 150}
+    dispatcher_actor.post_update(server_listing(update, {"here": 0}, {"small": 0}))
+    dispatcher_actor.apply_updates()
+    stale_jobs = [job for job in jobs if not dispatcher_actor.preconditions_hold(job)]
+    assert {job.server for job in stale_jobs} == {job.server for job in jobs if job.server < 150}
     for job in jobs:
-        if job in forbidden:
-            ends(actor, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
+        if job in stale_jobs:
+            ends(dispatcher_actor, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
         else:
-            ends(actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
-    again = dispatched_jobs(actor)
-    assert len(again) == len(forbidden) and all(job.server >= 150 for job in again)
-    for job in again:
-        ends(actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
-    assert all([final.status for final in each] == [200] for each in responses) and balanced(actor)
-    actor.post_update(server_listing(update | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0}))
-    actor.apply_updates()  # servers that still had attempts are removed with the next list
-    assert len(actor.servers) == 1024 - 150 and not actor.ids_in_use
+            ends(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+    retried_jobs = dispatched_jobs(dispatcher_actor)
+    assert len(retried_jobs) == len(stale_jobs) and all(job.server >= 150 for job in retried_jobs)
+    for job in retried_jobs:
+        ends(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+    assert all([final.status for final in each] == [200] for each in responses) and balanced(dispatcher_actor)
+    dispatcher_actor.post_update(
+        server_listing(update | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0})
+    )
+    dispatcher_actor.apply_updates()  # servers that still had attempts are removed with the next list
+    assert len(dispatcher_actor.servers) == 1024 - 150 and not dispatcher_actor.ids_in_use
--- a/tests/test_answers_faults.py
+++ b/tests/test_admission_faults.py
@@ -1,4 +1,4 @@
-"""Faults while a request is read, taken, ended or answered; responses that are large, late or broken."""
+"""Faults while a request is read, processed or answered; responses that are large, late or invalid."""
 
 import gevent
 import pytest
@@ -6,7 +6,7 @@
 from gevent import socket
 from hypothesis import given
 from hypothesis import strategies as st
-from test_answers import enqueue_requests, send_and_block_loop
+from test_admission import enqueue_requests, send_and_block_loop
 from test_door import GOOD, build_door, client, status
 from test_front import AT, balanced, build_brain, ends, sent, taken
 
@@ -17,62 +17,67 @@
 
 
 def test_a_request_without_an_outcome_is_answered_with_502_at_its_deadline():
-    actor = build_brain(discovery_entry("s-1", AT))
-    responses, others = taken(actor, 1, within=20.0), taken(actor, 2, within=900.0)
-    actor.expire_requests(actor.clock())
+    dispatcher_actor = build_brain(discovery_entry("s-1", AT))
+    responses, other_responses = (
+        taken(dispatcher_actor, 1, within=20.0),
+        taken(dispatcher_actor, 2, within=900.0),
+    )
+    dispatcher_actor.expire_requests(dispatcher_actor.clock())
     assert not responses
-    actor.next_expiry_check = 0.0
-    actor.expire_requests(actor.clock() + 20.0 + dispatcher.DEADLINE_SLACK_MS + 1)
-    assert [final.status for final in responses] == [502] and not others
-    assert actor.counters.counts["reqs_expired"] == 1 and balanced(actor)
-    late, _ = sent(actor)
-    ends(actor, late, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
-    assert len(responses) == 1 and balanced(actor)
+    dispatcher_actor.next_expiry_check = 0.0
+    dispatcher_actor.expire_requests(dispatcher_actor.clock() + 20.0 + dispatcher.DEADLINE_SLACK_MS + 1)
+    assert [final.status for final in responses] == [502] and not other_responses
+    assert dispatcher_actor.counters.counts["reqs_expired"] == 1 and balanced(dispatcher_actor)
+    late_job, _ = sent(dispatcher_actor)
+    ends(dispatcher_actor, late_job, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
+    assert len(responses) == 1 and balanced(dispatcher_actor)
 
 
-def test_the_dispatcher_yields_to_other_greenlets_while_it_works_through_its_mailbox(monkeypatch):
+def test_the_dispatcher_yields_to_other_greenlets_while_it_processes_its_mailbox(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    actor = build_brain(discovery_entry("s-1", AT))
-    enqueue_requests(actor, 500)
-    running = gevent.spawn(actor.run)
-    turns = 0
-    while actor.mailbox.qsize():
+    dispatcher_actor = build_brain(discovery_entry("s-1", AT))
+    enqueue_requests(dispatcher_actor, 500)
+    running = gevent.spawn(dispatcher_actor.run)
+    yield_count = 0
+    while dispatcher_actor.mailbox.qsize():
         gevent.sleep(0)
-        turns += 1
+        yield_count += 1
     running.kill()
-    assert turns > 10
+    assert yield_count > 10
 
 
-@pytest.mark.parametrize("end", [i.Outcome.COMPLETED, i.Outcome.RESET])
-def test_a_fault_in_handling_an_outcome_fails_that_request_at_once_and_no_other(monkeypatch, end):
-    actor = build_brain(discovery_entry("s-1", AT))
-    responses, others = taken(actor, 1), taken(actor, 2)
-    job, _ = sent(actor)
-    monkeypatch.setattr(actor, "load_report", lambda message: 1 / 0)
+@pytest.mark.parametrize("outcome", [i.Outcome.COMPLETED, i.Outcome.RESET])
+def test_a_fault_in_handling_an_outcome_fails_that_request_at_once_and_no_other(monkeypatch, outcome):
+    dispatcher_actor = build_brain(discovery_entry("s-1", AT))
+    responses, other_responses = taken(dispatcher_actor, 1), taken(dispatcher_actor, 2)
+    job, _ = sent(dispatcher_actor)
+    monkeypatch.setattr(dispatcher_actor, "load_report", lambda message: 1 / 0)
     result = (
         UpstreamResponse(200)
-        if end == i.Outcome.COMPLETED
+        if outcome == i.Outcome.COMPLETED
         else ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED)
     )
-    actor.ended_attempts.append(upstream_server.AttemptResult(job, end, 5.0, result))
-    actor.process_ended_attempts()
-    assert [final.status for final in responses] == [502] and not others
-    assert actor.counters.counts["faults"] == 1 and balanced(actor)
+    dispatcher_actor.ended_attempts.append(upstream_server.AttemptResult(job, outcome, 5.0, result))
+    dispatcher_actor.process_ended_attempts()
+    assert [final.status for final in responses] == [502] and not other_responses
+    assert dispatcher_actor.counters.counts["faults"] == 1 and balanced(dispatcher_actor)
 
 
-def test_a_fault_in_taking_a_request_answers_it_at_once(monkeypatch):
-    actor = build_brain(discovery_entry("s-1", AT))
-    monkeypatch.setattr(actor, "record_delay", lambda *args: 1 / 0)
+def test_a_request_that_the_dispatcher_fails_to_process_gets_a_502_at_once(monkeypatch):
+    dispatcher_actor = build_brain(discovery_entry("s-1", AT))
+    monkeypatch.setattr(dispatcher_actor, "record_delay", lambda *args: 1 / 0)
     responses = []
     request, message = (
-        i.Request(1, 0, 0, None, actor.clock() + 900.0, 0.0, False),
+        i.Request(1, 0, 0, None, dispatcher_actor.clock() + 900.0, 0.0, False),
         dispatcher.Message(fields={b"x-txn": b"1"}),
     )
-    actor.handle(dispatcher.RequestReceived(request, message, actor.clock(), responses.append))
-    assert [final.status for final in responses] == [502] and not actor.open_requests
+    dispatcher_actor.handle(
+        dispatcher.RequestReceived(request, message, dispatcher_actor.clock(), responses.append)
+    )
+    assert [final.status for final in responses] == [502] and not dispatcher_actor.open_requests
 
 
-def test_a_fault_in_reading_a_connection_does_not_lose_the_response_to_its_held_request(monkeypatch):
+def test_a_fault_in_reading_a_connection_does_not_lose_the_response_to_its_open_request(monkeypatch):
     listener, received = build_door()
     sock = client(listener)
     sock.sendall(GOOD)
@@ -132,23 +137,27 @@
 
 
 def test_a_request_that_waited_too_long_in_the_mailbox_is_shed_before_dispatch(monkeypatch):
-    actor = build_brain(discovery_entry("s-1", AT))
+    dispatcher_actor = build_brain(discovery_entry("s-1", AT))
     responses = []
     request, message = (
-        i.Request(1, 0, 0, None, actor.clock() + 30.0, 0.0, False),
+        i.Request(1, 0, 0, None, dispatcher_actor.clock() + 30.0, 0.0, False),
         dispatcher.Message(fields={b"x-txn": b"1"}),
     )
-    actor.handle(dispatcher.RequestReceived(request, message, actor.clock() - 40.0, responses.append, 20.0))
-    assert not responses  # it has time left, and one delay is no standing queue
-    actor.admission.above_target_since = actor.clock() - 1000.0
-    actor.handle(dispatcher.RequestReceived(request, message, actor.clock() - 70.0, responses.append, 20.0))
+    dispatcher_actor.handle(
+        dispatcher.RequestReceived(request, message, dispatcher_actor.clock() - 40.0, responses.append, 20.0)
+    )
+    assert not responses  # it has time left, and a single delay isn't a standing queue
+    dispatcher_actor.admission.above_target_since = dispatcher_actor.clock() - 1000.0
+    dispatcher_actor.handle(
+        dispatcher.RequestReceived(request, message, dispatcher_actor.clock() - 70.0, responses.append, 20.0)
+    )
     assert [final.status for final in responses] == [503] and (
-        actor.counters.counts["reqs_waited_standing"] == 1
+        dispatcher_actor.counters.counts["reqs_waited_standing"] == 1
     )
-    assert actor.counters.counts["reqs_taken"] == 1 and balanced(actor)
+    assert dispatcher_actor.counters.counts["reqs_taken"] == 1 and balanced(dispatcher_actor)
 
 
-def test_a_response_larger_than_the_socket_buffers_reaches_a_slow_reader_whole():
+def test_a_response_larger_than_the_socket_buffers_reaches_a_slow_reader_in_full():
     listener, received = build_door()
     sock = client(listener)
     sock.sendall(GOOD)
--- a/tests/test_account.py
+++ b/tests/test_request_accounting.py
@@ -1,5 +1,5 @@
 """Each request gets exactly one response and the counters add up, in any order of arrivals, delays, outcomes,
-client departures, faults and passing time."""
+client disconnects, faults and advances of the clock."""
 
 import pytest
 from conftest import build_node_config, discovery_entry, null_log
@@ -32,21 +32,23 @@
     def __init__(self):
         super().__init__()
         self.now = 1_000_000.0
-        config = build_node_config(*(discovery_entry(f"s-{number}", ("127.0.0.1", 9)) for number in range(3)))
-        self.dispatcher = dispatcher.Dispatcher(config, lambda: self.now, Counters(), null_log)
+        node_config = build_node_config(
+            *(discovery_entry(f"s-{number}", ("127.0.0.1", 9)) for number in range(3))
+        )
+        self.dispatcher = dispatcher.Dispatcher(node_config, lambda: self.now, Counters(), null_log)
         self.dispatcher.start()
-        self.deadlines, self.responses, self.departed = {}, {}, set()
-        self.unread, self.running_jobs, self.executed = [], [], {}
+        self.deadlines, self.responses, self.disconnected = {}, {}, set()
+        self.unhandled, self.running_jobs, self.executed = [], [], {}
         self.last_request_id = 0
 
     def collect_jobs(self):
-        """Takes the attempts that the server actors were given out of their mailboxes."""
-        for actor in self.dispatcher.servers.values():
-            while actor.mailbox.qsize():
-                message = actor.mailbox.get()
+        """Moves the attempts from the server actors' mailboxes to ``running_jobs``."""
+        for server in self.dispatcher.servers.values():
+            while server.mailbox.qsize():
+                message = server.mailbox.get()
                 if isinstance(message, upstream_server.StartAttempt):
                     job = message.job
-                    assert job.request_id not in self.departed and not self.responses.get(job.request_id)
+                    assert job.request_id not in self.disconnected and not self.responses.get(job.request_id)
                     # A request that may have been executed isn't sent again if its route forbids that.
                     assert (
                         self.dispatcher.open_requests[job.request_id].received.request.route == 0
@@ -67,30 +69,30 @@
         message = dispatcher.Message(b"GET", b"/api", fields={b"x-txn": b"%d" % request_id})
         self.deadlines[request_id], self.responses[request_id] = request.deadline, []
 
-        def answer(final):
+        def respond(final):
             self.responses[request_id].append((final, self.now))
 
-        self.unread.append(dispatcher.RequestReceived(request, message, self.now, answer, read_delay_ms))
+        self.unhandled.append(dispatcher.RequestReceived(request, message, self.now, respond, read_delay_ms))
         return request_id
 
     @rule(count=st.integers(1, 5))
     def handle_messages(self, count):
-        for message in self.unread[:count]:
+        for message in self.unhandled[:count]:
             self.dispatcher.handle(message)
-        del self.unread[:count]
+        del self.unhandled[:count]
         self.collect_jobs()
 
-    @rule(which=st.integers(0), end=st.sampled_from(list(RESULTS)), fault=st.booleans())
-    def finish_attempt(self, which, end, fault):
+    @rule(job_index=st.integers(0), outcome=st.sampled_from(list(RESULTS)), fault=st.booleans())
+    def finish_attempt(self, job_index, outcome, fault):
         if not self.running_jobs:
             return
-        job = self.running_jobs.pop(which % len(self.running_jobs))
-        if end not in i.NOT_EXECUTED:
+        job = self.running_jobs.pop(job_index % len(self.running_jobs))
+        if outcome not in i.NOT_EXECUTED:
             self.executed[job.request_id] = True
         if fault:
             self.dispatcher.load_report = lambda message: 1 / 0
         self.dispatcher.attempt_ended(
-            upstream_server.AttemptResult(job, end, self.now - job.decided_at, RESULTS[end])
+            upstream_server.AttemptResult(job, outcome, self.now - job.decided_at, RESULTS[outcome])
         )
         self.dispatcher.process_ended_attempts()
         if fault:
@@ -98,9 +100,9 @@
         self.collect_jobs()
 
     @rule(request_id=request_ids)
-    def client_departs(self, request_id):
-        if all(message.request.id != request_id for message in self.unread):
-            self.departed.add(request_id)
+    def client_disconnects(self, request_id):
+        if all(message.request.id != request_id for message in self.unhandled):
+            self.disconnected.add(request_id)
             self.dispatcher.handle(dispatcher.ClientGone(request_id))
 
     @rule(duration_ms=st.floats(0.0, 400.0))
@@ -125,18 +127,18 @@
             )
 
     def teardown(self):
-        self.handle_messages(len(self.unread))
+        self.handle_messages(len(self.unhandled))
         self.now += 2 * 900.0
         self.dispatcher.expire_requests(self.now)
         for request_id, responses in self.responses.items():
-            assert len(responses) == 1 or request_id in self.departed, request_id
+            assert len(responses) == 1 or request_id in self.disconnected, request_id
         assert not self.dispatcher.open_requests
         for job in self.running_jobs:
             self.dispatcher.attempt_ended(
                 upstream_server.AttemptResult(job, i.Outcome.RESET, 1.0, RESULTS[i.Outcome.RESET])
             )
         self.dispatcher.process_ended_attempts()
-        assert not self.dispatcher.ids_in_use  # nothing grows with the number of requests
+        assert not self.dispatcher.ids_in_use  # no request leaves state behind, so none accumulates
 
 
 AccountingMachine.TestCase.settings = settings(
@@ -147,7 +149,7 @@
 
 @pytest.mark.parametrize("guard", ["expire_requests", "release_id"])
 def test_the_accounting_machine_detects_a_disabled_guard(monkeypatch, guard):
-    monkeypatch.setattr(dispatcher.Dispatcher, guard, lambda self, of: None)
+    monkeypatch.setattr(dispatcher.Dispatcher, guard, lambda self, argument: None)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(
             AccountingMachine, settings=settings(AccountingMachine.TestCase.settings, print_blob=False)
