--- a/myrtleroad/net/__init__.py
+++ b/myrtleroad/net/__init__.py
@@ -1,1 +1,1 @@
-"""The front on real sockets. It carries out and reports; every decision is the module's."""
+"""The front on real sockets. It executes and reports; the decision module makes every decision."""
--- a/myrtleroad/net/actor.py
+++ b/myrtleroad/net/actor.py
@@ -1,4 +1,4 @@
-"""Keeping an actor going: a fault in it is told and counted, and it takes its next message."""
+"""Keeps an actor running: an exception is logged and counted, and the actor goes on with its next message."""
 
 import traceback
 from collections.abc import Callable
@@ -8,17 +8,19 @@
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.log import Log
 
-RESTART_DELAY_S = 0.1  # after a fault, so that one that comes at once does not spin
+RESTART_DELAY_S = 0.1  # after an exception, so that one that recurs at once does not spin
 
 
 def report_fault(during: str, error: Exception, counters: Counters, log: Log) -> None:
+    """Log and count an exception, with the place that raised it."""
     counters.add("faults")
-    last = traceback.extract_tb(error.__traceback__)[-1]
-    place = f"{last.filename.rpartition('/')[2]}:{last.lineno}"
+    frame = traceback.extract_tb(error.__traceback__)[-1]
+    place = f"{frame.filename.rpartition('/')[2]}:{frame.lineno}"
     log("fault", level="warning", during=during, error=f"{type(error).__name__}: {error}", place=place)
 
 
 def keep_running(name: str, run: Callable[[], None], counters: Counters, log: Log) -> None:
+    """Run an actor until it returns, starting it again after an exception."""
     while True:
         try:
             return run()
--- a/myrtleroad/net/clock.py
+++ b/myrtleroad/net/clock.py
@@ -1,10 +1,11 @@
-"""One clock for the whole front: float ms of Unix time that never run back."""
+"""One clock for the whole front: Unix time in float ms that never decreases."""
 
 import time
 
 
 class Clock:
-    """Anchored once to Unix time, so that machines' starts compare with it; the monotonic clock moves it."""
+    """Anchored once to Unix time, so that it compares with servers' start times; advanced by the monotonic
+    clock."""
 
     __slots__ = ("anchor",)
 
--- a/myrtleroad/net/config_versions.py
+++ b/myrtleroad/net/config_versions.py
@@ -1,4 +1,5 @@
-"""The versions actor: a stream to the control service, the acts of the ledger, and what holds in effect."""
+"""Receives configuration versions: a stream to the control service, the actions of the ledger, the limits in
+force."""
 
 import contextlib
 import time
@@ -30,19 +31,19 @@
 from myrtleroad.net.node_config import DECODE_ERRORS, Address, AddressChanged, NodeConfig
 
 CONNECT_TIMEOUT_S = 1.0  # as for the other streams
-HEARTBEAT_S = 2.0  # a sign of life goes out so often
-SILENCE_TIMEOUT_S = 5.0  # two signs of life and some room
-SLICE_S = 0.001  # reading a version lets others run after so long, once the slice of nodes it is in ends
-SLICE_PAUSE_S = (
-    0.004  # and sleeps so long, as a version has time and reqs have not: a fifth of a core at most. A
-)
-# sleep of 0 would let greenlets run, but no socket in until 50 of them have
+HEARTBEAT_S = 2.0  # interval of heartbeats sent
+SILENCE_TIMEOUT_S = 5.0  # two heartbeats and some margin
+# reading a version yields to other greenlets after this long, at the end of the current slice of nodes
+SLICE_S = 0.001
+# and sleeps this long, as requests are urgent and a version is not: at most a fifth of a core. A sleep of 0
+# would run other greenlets, but read no socket until 50 of them had run.
+SLICE_PAUSE_S = 0.004
 READ_BYTES = 64 * 1024
 
 
 @dataclass(slots=True, frozen=True)
 class FrameReceived:
-    """A frame of one stream; without one, its end."""
+    """A frame received on a stream; without a frame, the end of the stream."""
 
     stream: int
     frame: Frame | None
@@ -51,46 +52,55 @@
 
 @dataclass(slots=True, frozen=True)
 class OfferChecked:
-    """What the check of an offer says."""
+    """The result of checking an offered version."""
 
     offer: Offer
     result: version.Version
 
 
 class ConfigVersions:
-    """Follows one control service. The ledger decides; reading and checking go on in a greenlet of their own,
-    by slices, so that reqs do not wait. ``apply`` takes the bounds of now (None where nothing is
-    narrowed) and must not switch; ``cap`` tells the cap of a build on trial, None where none is."""
+    """Follows one control service. The ledger decides; reading and checking run in a separate greenlet, in
+    slices, so that requests do not wait. ``apply_limits`` sets the limits in force (None if nothing is
+    limited) and must not switch greenlets; ``trial_cap`` returns the cap of the build on trial, None without
+    one."""
 
     def __init__(
         self,
-        at: Address,
-        told: NodeConfig,
+        address: Address,
+        node_config: NodeConfig,
         clock: Callable[[], float],
         counters: Counters,
         log: Log,
-        apply: Callable[[rules.EffectiveLimits | None], None],
-        cap: Callable[[], float | None],
+        apply_limits: Callable[[rules.EffectiveLimits | None], None],
+        trial_cap: Callable[[], float | None],
     ):
-        self.address, self.node_config, self.clock, self.counters, self.log = at, told, clock, counters, log
-        self.apply_limits, self.trial_cap = apply, cap
+        self.address, self.node_config, self.clock, self.counters, self.log = (
+            address,
+            node_config,
+            clock,
+            counters,
+            log,
+        )
+        self.apply_limits, self.trial_cap = apply_limits, trial_cap
         self.mailbox: SimpleQueue = SimpleQueue()
         self.ledger = Ledger()
-        self.entries_of = {
-            self.ledger.in_force.version: NO_ENTRIES
-        }  # of the one in force and the last good one
-        self.applying = version.Version()  # the one that is being applied
-        manner = FollowerSettings(
-            told.facts.balancers, told.facts.server_rules.drain_grace_ms, HEARTBEAT_S * 1000
+        # entries of the version in force and of the last good one
+        self.entries_of = {self.ledger.in_force.version: NO_ENTRIES}
+        self.applying = version.Version()  # the version that is being applied
+        settings = FollowerSettings(
+            node_config.facts.balancers, node_config.facts.server_rules.drain_grace_ms, HEARTBEAT_S * 1000
         )
-        self.backoff = CallBackoff(manner, Random(told.seed + 2).random)
-        self.newest_stream = 0  # the newest, of the address that holds now
-        self.sockets: dict[int, socket.socket] = {}  # of the newest, and of one that a move has left behind
-        self.opened_at: dict[int, float] = {}  # since when each stands; both emptied as each ends
+        self.backoff = CallBackoff(settings, Random(node_config.seed + 2).random)
+        self.newest_stream = 0  # the newest one, connected to the current address
+        # of the newest stream and of one left open after a change of address
+        self.sockets: dict[int, socket.socket] = {}
+        # when each was opened; entries of both are removed as streams end
+        self.opened_at: dict[int, float] = {}
 
-    # --- the actor ---
+    # --- actor ---
 
     def run(self) -> None:
+        """Process messages and the ledger's deadlines; does not return."""
         gevent.spawn(self.connect)
         while True:
             wait = max(0.0, min(self.ledger.next_deadline() - self.clock(), 1000.0)) / 1000
@@ -102,133 +112,150 @@
             self.execute(self.ledger.tick(self.clock()))
 
     def process(self, message: object) -> None:
+        """Process one message; frames of streams already closed are ignored."""
         match message:
-            case FrameReceived(stream, None, why):
-                self.stream_ended(stream, why)
+            case FrameReceived(stream, None, reason):
+                self.stream_ended(stream, reason)
             case FrameReceived(stream, frame) if stream in self.sockets:
                 try:
                     self.process_frame(frame, stream)
                 except DECODE_ERRORS as error:
                     self.end_stream(stream, f"unreadable: {type(error).__name__}: {error}")
-            case OfferChecked(offer, found):
-                self.finish_check(offer, found)
-            case AddressChanged(at) if at != self.address:
-                # The old one is followed until the new one says something: a wrong address cuts nobody off.
-                self.address = at
+            case OfferChecked(offer, result):
+                self.finish_check(offer, result)
+            case AddressChanged(address) if address != self.address:
+                # The old stream is followed until the new one delivers a frame: a wrong address disconnects
+                # no front.
+                self.address = address
                 gevent.spawn(self.connect)
 
-    def stream_ended(self, stream: int, why: str) -> None:
-        """A stream has ended, or could not begin. Of the newest, another is begun."""
-        stood = self.clock() - self.opened_at.pop(stream) if stream in self.opened_at else None
+    def stream_ended(self, stream: int, reason: str) -> None:
+        """A stream has ended, or could not be opened. If it was the newest, another one is opened."""
+        stood_ms = self.clock() - self.opened_at.pop(stream) if stream in self.opened_at else None
         if self.sockets.pop(stream, None) is not None:
             self.ledger.stream_closed(stream)
         self.counters.add("versions_lost")
-        self.log("versions lost", level="warning", why=why)
+        self.log("versions lost", level="warning", why=reason)
         if stream == self.newest_stream:
-            gevent.spawn_later(self.backoff.next_pause_ms(stood) / 1000, self.reconnect, stream)
+            gevent.spawn_later(self.backoff.next_pause_ms(stood_ms) / 1000, self.reconnect, stream)
 
     def reconnect(self, stream: int) -> None:
-        if stream == self.newest_stream:  # no move has begun another meanwhile
+        """Open another stream after the pause, unless a change of address already did."""
+        if stream == self.newest_stream:  # no change of address has opened another one meanwhile
             self.connect()
 
     def process_frame(self, frame: Frame, stream: int) -> None:
-        f = frame.fields
+        """Process a frame of the control service. Raises one of ``DECODE_ERRORS``."""
+        fields = frame.fields
         if stream == self.newest_stream:
-            for left in [n for n in self.sockets if n != stream]:
-                self.end_stream(left, "moved")
+            for old_stream in [number for number in self.sockets if number != stream]:
+                self.end_stream(old_stream, "moved")
         match frame.kind:
             case "offer":
-                name, confirm = VersionId(int(f["epoch"]), int(f["number"])), f.get("confirm_ms")
+                version_id, confirm = (
+                    VersionId(int(fields["epoch"]), int(fields["number"])),
+                    fields.get("confirm_ms"),
+                )
                 confirm_ms = None if confirm is None else float(confirm)
-                offer = Offer(stream, int(f["nonce"]), name, str(f["digest"]), confirm_ms, f)
+                offer = Offer(
+                    stream, int(fields["nonce"]), version_id, str(fields["digest"]), confirm_ms, fields
+                )
                 self.counters.add("versions_offered")
                 self.execute(self.ledger.offer_received(offer))
             case "confirm":
-                name = VersionId(int(f["epoch"]), int(f["number"]))
-                if self.ledger.confirm_received(name):
-                    self.log("version confirmed", epoch=name.epoch, number=name.number)
+                version_id = VersionId(int(fields["epoch"]), int(fields["number"]))
+                if self.ledger.confirm_received(version_id):
+                    self.log("version confirmed", epoch=version_id.epoch, number=version_id.number)
             case "bye":
-                self.end_stream(stream, str(f.get("why", "bye")))
+                self.end_stream(stream, str(fields.get("why", "bye")))
 
-    # --- carrying out ---
+    # --- actions of the ledger ---
 
-    def execute(self, acts: list[LedgerAction]) -> None:
-        for act in acts:
-            match act:
+    def execute(self, actions: list[LedgerAction]) -> None:
+        """Execute actions of the ledger."""
+        for action in actions:
+            match action:
                 case CheckOffer(offer):
                     gevent.spawn(self.check, offer)
-                case ApplyVersion(name):
-                    self.apply_version(name)
+                case ApplyVersion(version_id):
+                    self.apply_version(version_id)
                 case OfferAnswer():
-                    self.send_answer(act)
-                case ReportRollback(name, back_to, why):
+                    self.send_answer(action)
+                case ReportRollback(version_id, back_to, reason):
                     self.counters.add("versions_rolled_back")
-                    gone = {"epoch": name.epoch, "number": name.number}
-                    self.log("version rolled back", level="warning", **gone, why=why)
-                    back = {"epoch": back_to.epoch, "number": back_to.number}
+                    rolled_back = {"epoch": version_id.epoch, "number": version_id.number}
+                    self.log("version rolled back", level="warning", **rolled_back, why=reason)
+                    target = {"epoch": back_to.epoch, "number": back_to.number}
                     for stream in list(self.sockets):
-                        self.send(stream, encode_frame("back", **gone, to=back, why=why))
+                        self.send(stream, encode_frame("back", **rolled_back, to=target, why=reason))
 
     def check(self, offer: Offer) -> None:
-        """In a greenlet of its own: reads by slices and lets others run between them."""
-        found, begun = version.Version(), time.monotonic()
+        """Check an offer in a separate greenlet, in slices, yielding to other greenlets between them."""
+        result, began_at = version.Version(), time.monotonic()
         try:
-            steps = self.read_offer(offer, found)
+            steps = self.read_offer(offer, result)
             for _ in steps:
-                if time.monotonic() - begun >= SLICE_S:
+                if time.monotonic() - began_at >= SLICE_S:
                     gevent.sleep(SLICE_PAUSE_S)
-                    begun = time.monotonic()
-        except Exception as error:  # whatever is wrong with it, the offer gets its answer
-            found.faults = [Fault("syntax", f"{type(error).__name__}: {error}")]
-        self.mailbox.put(OfferChecked(offer, found))
-
-    def read_offer(self, offer: Offer, found: version.Version):
-        """Steps over a whole text or a difference. Raises KeyError and the like where it can't be read."""
-        told = self.node_config.limits(self.trial_cap(), self.address[0])
+                    began_at = time.monotonic()
+        except Exception as error:  # whatever is wrong with it, the offer is answered
+            result.faults = [Fault("syntax", f"{type(error).__name__}: {error}")]
+        self.mailbox.put(OfferChecked(offer, result))
+
+    def read_offer(self, offer: Offer, result: version.Version):
+        """Read a whole text or a difference in steps. Raises KeyError and other ``DECODE_ERRORS`` if it
+        cannot be decoded."""
+        limits = self.node_config.limits(self.trial_cap(), self.address[0])
         if "text" in offer.body:
-            yield from version.read_in_slices(str(offer.body["text"]).encode(), told, found)
+            yield from version.read_in_slices(str(offer.body["text"]).encode(), limits, result)
             return
         base = offer.body["base"]
         if VersionId(int(base["epoch"]), int(base["number"])) != self.ledger.in_force.version:
-            found.faults = [Fault("base", "a difference to what is not in force here")]
+            result.faults = [Fault("base", "difference to a version that is not in force here")]
             return
         changed = {tuple(path): value for path, value in offer.body["set"]}
         delta = Delta(changed, [tuple(path) for path in offer.body["dropped"]])
-        found.entries = apply_delta(self.entries_of[self.ledger.in_force.version], delta)
-        yield from rules.check_entries(found.entries, told, {}, found.faults)
-
-    def finish_check(self, offer: Offer, found: version.Version) -> None:
-        faults = found.faults
-        if not faults and content_digest(found.entries) != offer.digest:
-            faults = [Fault("digest", "the content is not what its digest says")]
+        result.entries = apply_delta(self.entries_of[self.ledger.in_force.version], delta)
+        yield from rules.check_entries(result.entries, limits, {}, result.faults)
+
+    def finish_check(self, offer: Offer, result: version.Version) -> None:
+        """Pass the result of a check to the ledger, with the first error if there are any."""
+        faults = result.faults
+        if not faults and content_digest(result.entries) != offer.digest:
+            faults = [Fault("digest", "the content does not match its digest")]
         if not faults:
-            self.applying = found
+            self.applying = result
             self.execute(self.ledger.check_finished(offer.nonce, offer.stream))
             return
         first, more = faults[0], f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
         place = f"line {first.line}, column {first.column}: " if first.line else ""
-        why = place + first.text + more
-        self.execute(self.ledger.check_finished(offer.nonce, offer.stream, first.code, why, first.path))
+        reason = place + first.text + more
+        self.execute(self.ledger.check_finished(offer.nonce, offer.stream, first.code, reason, first.path))
 
-    def apply_version(self, name: VersionId) -> None:
-        """All or nothing: the bounds are made first and told in one call."""
-        back, fault = name == self.ledger.in_force.version, ""
-        entries = self.entries_of[name] if back else self.applying.entries
+    def apply_version(self, version_id: VersionId) -> None:
+        """Apply a version completely or not at all: the limits are computed first and set in one call."""
+        is_rollback, failure = version_id == self.ledger.in_force.version, ""
+        entries = self.entries_of[version_id] if is_rollback else self.applying.entries
         try:
             self.apply_limits(self.limits_of(entries))
-        except Exception as error:  # the version before stays in force
-            fault = f"{type(error).__name__}: {error}"
-        if back:
-            return  # the ledger has gone back already
-        if not fault:
-            self.entries_of[name] = entries
+        except Exception as error:  # the previous version stays in force
+            failure = f"{type(error).__name__}: {error}"
+        if is_rollback:
+            return  # the ledger has rolled back already
+        if not failure:
+            self.entries_of[version_id] = entries
             self.counters.add("versions_applied")
-            self.log("version applied", epoch=name.epoch, number=name.number, entries=len(entries))
-        self.execute(self.ledger.apply_finished(name, self.clock(), fault))
-        held = (self.ledger.in_force.version, self.ledger.last_good.version)
-        self.entries_of = {n: c for n, c in self.entries_of.items() if n in held}
+            self.log(
+                "version applied", epoch=version_id.epoch, number=version_id.number, entries=len(entries)
+            )
+        self.execute(self.ledger.apply_finished(version_id, self.clock(), failure))
+        kept = (self.ledger.in_force.version, self.ledger.last_good.version)
+        self.entries_of = {
+            kept_id: content for kept_id, content in self.entries_of.items() if kept_id in kept
+        }
 
     def limits_of(self, entries) -> rules.EffectiveLimits | None:
+        """The limits in effect with these entries, None without entries."""
         return (
             rules.effective_limits(entries, self.node_config.limits(self.trial_cap()))
             if len(entries)
@@ -236,33 +263,41 @@
         )
 
     def reapply(self) -> None:
-        """What was told has changed, as a cap: what holds in effect is made anew."""
+        """Compute the limits in force anew after something that bounds them, such as the cap, has changed."""
         entries = self.entries_of[self.ledger.in_force.version]
         if len(entries):
             self.apply_limits(self.limits_of(entries))
 
-    def send_answer(self, a: OfferAnswer) -> None:
-        name = {"epoch": a.version.epoch, "number": a.version.number}
-        self.counters.add("versions_acked" if a.acked else "versions_refused")
-        if not a.acked:
-            self.log("version refused", level="warning", **name, code=a.code, text=a.text)
-        why = {"code": a.code, "text": a.text, "path": a.path}
-        self.send(a.stream, encode_frame("answer", nonce=a.nonce, **name, acked=a.acked, **why))
+    def send_answer(self, answer: OfferAnswer) -> None:
+        """Send the answer to an offer, and log it if the version was refused."""
+        version_fields = {"epoch": answer.version.epoch, "number": answer.version.number}
+        self.counters.add("versions_acked" if answer.acked else "versions_refused")
+        if not answer.acked:
+            self.log("version refused", level="warning", **version_fields, code=answer.code, text=answer.text)
+        reason_fields = {"code": answer.code, "text": answer.text, "path": answer.path}
+        self.send(
+            answer.stream,
+            encode_frame("answer", nonce=answer.nonce, **version_fields, acked=answer.acked, **reason_fields),
+        )
 
-    # --- the stream ---
+    # --- stream ---
 
     def connect(self) -> None:
-        """Opens a stream and reads it to its end, which is posted once."""
+        """Open a stream and read it to its end, which is posted once."""
         self.newest_stream += 1
-        number, why, sock = self.newest_stream, "ended", None
+        number, reason, sock = self.newest_stream, "ended", None
         try:
             sock = socket.create_connection(self.address, CONNECT_TIMEOUT_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.settimeout(SILENCE_TIMEOUT_S)
             self.sockets[number], self.opened_at[number] = sock, self.clock()
             self.ledger.stream_opened(number)
-            force = self.ledger.in_force
-            holds = {"epoch": force.version.epoch, "number": force.version.number, "digest": force.digest}
+            in_force = self.ledger.in_force
+            holds = {
+                "epoch": in_force.version.epoch,
+                "number": in_force.version.number,
+                "digest": in_force.digest,
+            }
             self.send(number, encode_frame("hello", name=self.node_config.name, protocol=1, holds=holds))
             gevent.spawn(self.send_heartbeats, number)
             decoder = FrameDecoder()
@@ -270,19 +305,21 @@
                 for frame in decoder.feed(data):
                     self.mailbox.put(FrameReceived(number, frame))
         except (OSError, FrameError) as error:
-            why = f"{type(error).__name__}: {error}"
+            reason = f"{type(error).__name__}: {error}"
         finally:
             if sock is not None:
                 sock.close()
-            self.mailbox.put(FrameReceived(number, None, why))
+            self.mailbox.put(FrameReceived(number, None, reason))
 
     def send_heartbeats(self, stream: int) -> None:
+        """Send heartbeats for as long as the stream is open."""
         while stream in self.sockets:
             gevent.sleep(HEARTBEAT_S)
             self.send(stream, encode_frame("alive"))
 
     def send(self, stream: int, frame: bytes) -> None:
-        """Never waits for long: a front's frames are small, and a peer that takes none is of no use."""
+        """Send a frame. Never blocks for long: frames of a front are small, and a peer that does not read is
+        of no use."""
         if (sock := self.sockets.get(stream)) is not None:
             try:
                 with gevent.Timeout(CONNECT_TIMEOUT_S, TimeoutError):
@@ -290,11 +327,11 @@
             except OSError as error:
                 self.end_stream(stream, f"{type(error).__name__}: {error}")
 
-    def end_stream(self, stream: int, why: str) -> None:
-        """Nothing more goes out on it; its reader sees the end and posts it."""
+    def end_stream(self, stream: int, reason: str) -> None:
+        """Send nothing more on a stream; its reader sees the end and posts it."""
         sock = self.sockets.pop(stream, None)
         if sock is not None:
             self.ledger.stream_closed(stream)
-            self.log("versions ended", why=why)
+            self.log("versions ended", why=reason)
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
--- a/myrtleroad/net/connecting.py
+++ b/myrtleroad/net/connecting.py
@@ -1,4 +1,4 @@
-"""Connecting to an address: each way that it can fail, told at once."""
+"""Connects to an address; each way to fail is reported at once."""
 
 import errno
 import os
@@ -8,17 +8,18 @@
 
 from myrtleroad.net.node_config import Address
 
-UNDER_WAY = frozenset((errno.EINPROGRESS, errno.EINTR))  # the connection goes on coming up
+UNDER_WAY = frozenset((errno.EINPROGRESS, errno.EINTR))  # the connection is still being established
 
 
-def connect(at: Address, timeout_s: float) -> socket.socket:
+def connect(address: Address, timeout_s: float) -> socket.socket:
     """A connection to an address. Raises OSError with the system's error, TimeoutError after the timeout.
 
-    A connect that fails with EAGAIN has not begun (no local port is left); a library may wait for it."""
+    A connect that fails with EAGAIN has not begun (no local port is left); a library may wait for it.
+    """
     raw = system.socket(system.AF_INET, system.SOCK_STREAM)
     try:
         raw.setblocking(False)
-        error = raw.connect_ex(at)
+        error = raw.connect_ex(address)
         if error in UNDER_WAY:
             socket.wait_write(raw.fileno(), timeout_s, TimeoutError("timed out"))
             error = raw.getsockopt(system.SOL_SOCKET, system.SO_ERROR)
--- a/myrtleroad/net/discovery.py
+++ b/myrtleroad/net/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery actor: follows the list of machines and passes on what holds of it."""
+"""The discovery client: follows the server list and delivers its changes."""
 
 from collections import Counter
 from dataclasses import replace
@@ -27,9 +27,10 @@
 )
 from myrtleroad.net.stream import CONNECT_TIMEOUT_S, MAX_LINE_BYTES, FollowerActor, FollowerContext, Stream
 
-HEARTBEAT_MS = 2000.0  # an empty line comes so often while nothing changes (protocol)
-FETCH_TIMEOUT_S = 2.5  # for a whole list asked for by itself: a service in a queue takes as long
-LIST_KEY = b'"generation"'  # a key of every list and of no entry
+HEARTBEAT_MS = 2000.0  # interval of empty lines while nothing changes (protocol)
+# for a separate request of the whole list: a service that queues its callers takes as long
+FETCH_TIMEOUT_S = 2.5
+LIST_KEY = b'"generation"'  # a key of every list and of no server entry
 RANKS = {
     i.ServerStatus.IN_SERVICE: Restriction.NONE,
     i.ServerStatus.DRAINING: Restriction.DRAINING,
@@ -37,53 +38,63 @@
 }
 
 
-def follower_settings(told: NodeConfig, sign_ms: float) -> FollowerSettings:
-    rules = told.facts.server_rules
-    most = rules.max_poll_interval_ms or float("inf")
-    return FollowerSettings(told.facts.balancers, rules.drain_grace_ms, sign_ms, most)
+def follower_settings(node_config: NodeConfig, heartbeat_ms: float) -> FollowerSettings:
+    """The settings for following a peer whose heartbeats come every ``heartbeat_ms``."""
+    rules = node_config.facts.server_rules
+    max_interval_ms = rules.max_poll_interval_ms or float("inf")
+    return FollowerSettings(node_config.facts.balancers, rules.drain_grace_ms, heartbeat_ms, max_interval_ms)
 
 
-def list_follower_settings(told: NodeConfig) -> FollowerSettings:
-    """Discovery is one service for all fronts where it is asked, an agent of each front's own else."""
-    service = ServiceKind.SHARED if told.facts.list_on_request else ServiceKind.OWN
-    return replace(follower_settings(told, HEARTBEAT_MS), service_kind=service)
+def list_follower_settings(node_config: NodeConfig) -> FollowerSettings:
+    """Discovery is one service shared by all fronts where it is polled, and an agent of each front
+    elsewhere."""
+    service = ServiceKind.SHARED if node_config.facts.list_on_request else ServiceKind.OWN
+    return replace(follower_settings(node_config, HEARTBEAT_MS), service_kind=service)
 
 
-def server_rank(e: ListedServer) -> Restriction:
-    return RANKS[e.entry.status]
+def server_rank(server: ListedServer) -> Restriction:
+    """The rank of a listed server, by its status."""
+    return RANKS[server.entry.status]
 
 
-def same_start(a: ListedServer, b: ListedServer) -> bool:
-    return (a.entry.build, a.entry.started_at) == (b.entry.build, b.entry.started_at)
+def same_start(one: ListedServer, other: ListedServer) -> bool:
+    """Whether two entries describe the same start of the same build."""
+    return (one.entry.build, one.entry.started_at) == (other.entry.build, other.entry.started_at)
 
 
 class ListFetched:
-    """What came of asking for the whole list: the list of one source, or None and why."""
+    """Result of requesting the whole list: the list of one source, or None and the reason."""
 
     __slots__ = ("error", "message")
 
-    def __init__(self, said: ListMessage[ListedServer] | None, why: str = ""):
-        self.message, self.error = said, why
+    def __init__(self, message: ListMessage[ListedServer] | None, error: str = ""):
+        self.message, self.error = message, error
 
 
 class DiscoveryClient(FollowerActor):
+    """Follows discovery's server list and keeps its latest state."""
+
     ACTOR_NAME = "roster"  # the actor's name in log events
     NAME, ENDED_COUNTER = "list", "watches_ended"
 
-    def __init__(self, told: NodeConfig, counters: Counters, log: Log, post: FollowerContext):
-        self.lease = ListLease(LeaseTerms.from_settings(told.facts))
-        super().__init__(told.discovery, list_follower_settings(told), told, counters, log, post)
+    def __init__(self, node_config: NodeConfig, counters: Counters, log: Log, context: FollowerContext):
+        self.lease = ListLease(LeaseTerms.from_settings(node_config.facts))
+        super().__init__(
+            node_config.discovery, list_follower_settings(node_config), node_config, counters, log, context
+        )
         self.stream_follower.lease = self.lease
-        self.name_numbers = (told.zones, told.kinds)
+        self.name_numbers = (node_config.zones, node_config.kinds)
         self.server_list: ServerList[ListedServer] = ServerList(server_rank, same_start)
         self.server_list.load_initial(
-            told.initial_list.version, {e.server_id: e for e in told.initial_list.servers}
+            node_config.initial_list.version,
+            {server.server_id: server for server in node_config.initial_list.servers},
+        )
+        self.fetch_backoff = CallBackoff(
+            list_follower_settings(node_config), Random(node_config.seed + 1).random
         )
-        self.fetch_backoff = CallBackoff(list_follower_settings(told), Random(told.seed + 1).random)
-        self.sources: dict[int, int] = {}  # of each stream that is held; emptied as each ends
-        self.readers: dict[
-            int, JsonObjectReader
-        ] = {}  # of each stream that is held; emptied with ``sources``
+        self.sources: dict[int, int] = {}  # source of each open stream; entries are removed as streams end
+        # reader of each open stream; entries are removed with ``sources``
+        self.readers: dict[int, JsonObjectReader] = {}
         self.fetching = False
 
     def open_stream(self, number: int) -> Stream:
@@ -91,20 +102,23 @@
         return Stream(number, f"/api/targets?watch=1&after={self.server_list.version}", self)
 
     def decode_list(self, text: bytes, source: int) -> ListMessage[ListedServer]:
-        """A list in discovery's form. Raises where nothing of it can be read."""
-        m = json_object(text)
-        read, unclear = listed_servers(m["instances"], *self.name_numbers)
-        return ListMessage(source, non_negative_int(m["generation"]), bool(m["reset"]), read, unclear)
-
-    def process_line(self, stream: Stream, text: bytes) -> None:
-        whole = self.readers.setdefault(stream.number, JsonObjectReader(LIST_KEY)).feed(text)
-        if whole is None:
+        """Decode a list in discovery's format. Raises one of ``DECODE_ERRORS`` if nothing in it can be
+        decoded."""
+        data = json_object(text)
+        servers, invalid_ids = listed_servers(data["instances"], *self.name_numbers)
+        return ListMessage(
+            source, non_negative_int(data["generation"]), bool(data["reset"]), servers, invalid_ids
+        )
+
+    def process_line(self, stream: Stream, line: bytes) -> None:
+        object_text = self.readers.setdefault(stream.number, JsonObjectReader(LIST_KEY)).feed(line)
+        if object_text is None:
             return
-        said = self.decode_list(whole, self.sources[stream.number])
+        message = self.decode_list(object_text, self.sources[stream.number])
         watched = stream.has_delivered and self.stream_follower.freshness is i.ListFreshness.FRESH
-        change = self.server_list.apply_message(said, self.stream_follower.is_sole_source(stream.number))
-        if said.source == self.server_list.source:
-            self.received(stream, version=said.version, entries=len(said.entries))
+        change = self.server_list.apply_message(message, self.stream_follower.is_sole_source(stream.number))
+        if message.source == self.server_list.source:
+            self.received(stream, version=message.version, entries=len(message.entries))
         self.apply_change(change, watched)
 
     def stream_gone(self, stream: Stream) -> None:
@@ -114,51 +128,56 @@
             return
         change = self.server_list.source_ended(source)
         self.apply_change(change)
-        if change is not None:  # what stood behind it holds now
-            for number in [n for n, x in self.sources.items() if x == self.server_list.source]:
+        if change is not None:  # the list of the source behind it applies now
+            for number in [
+                held_number
+                for held_number, held_source in self.sources.items()
+                if held_source == self.server_list.source
+            ]:
                 self.execute(self.stream_follower.message_received(number, self.clock()))
 
-    def freshness_changed(self, act: FreshnessChanged) -> None:
-        super().freshness_changed(act)
-        self.deliver(i.ListFreshnessChanged(act.freshness, act.confirmed_at))
+    def freshness_changed(self, action: FreshnessChanged) -> None:
+        super().freshness_changed(action)
+        self.deliver(i.ListFreshnessChanged(action.freshness, action.confirmed_at))
 
     def apply_change(self, change: ListChange[ListedServer] | None, watched: bool = False) -> None:
-        """What a list changes goes to the module; a whole list is asked for where one is wanted."""
+        """Deliver the changes of a list to the module, and request the whole list if the change requires
+        it."""
         if change is None:
             return
-        rows = list(change.entries.values())
-        for word in change.blocked:
-            # Guards against sending on to a machine of which something was said that we cannot read.
-            rows.append(self.server_list.entries[word].as_draining())
-        if change.whole or rows:
+        servers = list(change.entries.values())
+        for server_id in change.blocked:
+            # Guards against sending requests to a server whose latest entry could not be decoded.
+            servers.append(self.server_list.entries[server_id].as_draining())
+        if change.whole or servers:
             kind = i.ListKind.WHOLE if change.whole else i.ListKind.CHANGES
-            self.deliver(ServerListing(self.server_list.version, kind, rows, watched and not change.whole))
-            by_status = Counter(e.entry.status.name.lower() for e in rows)
+            self.deliver(ServerListing(self.server_list.version, kind, servers, watched and not change.whole))
+            by_status = Counter(server.entry.status.name.lower() for server in servers)
             self.log("list applied", version=self.server_list.version, whole=change.whole, **by_status)
         if change.refetch_reason and not self.fetching:
             self.fetching = True
-            pause = self.fetch_backoff.next_pause_ms(None)
-            self.log("list whole asked", why=change.refetch_reason, in_ms=round(pause, 1))
+            pause_ms = self.fetch_backoff.next_pause_ms(None)
+            self.log("list whole asked", why=change.refetch_reason, in_ms=round(pause_ms, 1))
             source = self.stream_follower.source
-            gevent.spawn_later(pause / 1000, lambda: self.post(self.fetch_list(source)))
+            gevent.spawn_later(pause_ms / 1000, lambda: self.post(self.fetch_list(source)))
 
     def fetch_list(self, source: int) -> ListFetched:
-        """The whole list, in one call of its own."""
-        # as long as on a watch's one line
-        sock, answers = None, http1.ResponseParser(max_body_bytes=MAX_LINE_BYTES)
+        """Request the whole list in a separate call."""
+        # as long as one line of a watch
+        sock, parser = None, http1.ResponseParser(max_body_bytes=MAX_LINE_BYTES)
         self.counters.add("lists_fetched")
         try:
             with gevent.Timeout(FETCH_TIMEOUT_S, TimeoutError):
                 sock = socket.create_connection(self.address, CONNECT_TIMEOUT_S)
                 http1.send(sock, http1.request_parts("GET", "/api/targets", http1.host_header(self.address)))
-                while not answers.complete:
+                while not parser.complete:
                     data = http1.receive(sock)
                     if not data:
                         return ListFetched(None, "ended")
-                    answers.feed(data)
-            if answers.response.status != 200:
-                return ListFetched(None, f"status {answers.response.status}")
-            return ListFetched(self.decode_list(b"".join(answers.response.body), source))
+                    parser.feed(data)
+            if parser.response.status != 200:
+                return ListFetched(None, f"status {parser.response.status}")
+            return ListFetched(self.decode_list(b"".join(parser.response.body), source))
         except (OSError, http1.HttpError, *DECODE_ERRORS) as error:
             return ListFetched(None, f"{type(error).__name__}: {error}")
         finally:
--- a/myrtleroad/net/dispatcher.py
+++ b/myrtleroad/net/dispatcher.py
@@ -1,4 +1,4 @@
-"""The actor that owns the decision module. Whatever happens reaches the module through its mailbox."""
+"""The actor that owns the decision module: every event reaches the module through this actor's mailbox."""
 
 import contextlib
 import heapq
@@ -35,25 +35,26 @@
 from myrtleroad.request_coroutine import RequestCoroutine
 from myrtleroad.settings import LOAD_COLUMN
 
-RESERVED_DESCRIPTORS = (
-    24  # descriptors for all else: log, clock, both streams, twice while they move, a vote, some to spare
-)
-MAX_REPORTED_LOAD = 1e6  # reqs that no machine holds: a report past it, or not a number, is none
+# descriptors for everything else: log, clock, both streams (twice while they change address), a vote, spares
+RESERVED_DESCRIPTORS = 24
+# requests in progress on one server: a load report above it, or not a number, is ignored
+MAX_REPORTED_LOAD = 1e6
 IN_SERVICE = i.ServerStatus.IN_SERVICE
-WAKE_MAILBOX = None  # in the mailbox: something waits in the lane
-DEADLINE_SLACK_MS = 50.0  # what every limit of time is longer by on sockets (protocol)
-YIELD_AFTER_MS = 50.0  # half a tick, then others get a turn: a full mailbox alone never lets them have one
-LATE_WARNING_MS = 100.0  # a whole tick of the module's
-DECISION_WAKEUP = None  # the timer of the module's own wake-up; others belong to a req
+WAKE_MAILBOX = None  # mailbox entry without content: something waits in the priority queue
+DEADLINE_SLACK_MS = 50.0  # tolerance of the protocol on every time limit measured on sockets
+YIELD_AFTER_MS = 50.0  # half a timer tick; after it other greenlets run, as a full mailbox alone never yields
+LATE_WARNING_MS = 100.0  # a whole tick of the decision module
+# marks the decision module's own wake-up among the timers; all others belong to a request
+DECISION_WAKEUP = None
 
 
 def transaction_id(message: Message) -> str:
-    """The id that a client gave its request."""
+    """The ID that the client gave its request (header X-Txn)."""
     return (message.header(b"x-txn") or b"").decode("latin-1")
 
 
 def reported_load(header: bytes | None) -> float | None:
-    """``TEXT name=value, name=value``; what cannot be read is no report."""
+    """Load from a report header of the form ``TEXT name=value, name=value``; None if it cannot be parsed."""
     form, _, text = (header or b"").decode("latin-1").partition(" ")
     if form != "TEXT":
         return None
@@ -67,6 +68,8 @@
 
 @dataclass(slots=True)
 class RequestReceived:
+    """A client's request, whole and valid."""
+
     request: i.Request
     message: Message
     received_at: float
@@ -76,70 +79,70 @@
 
 @dataclass(slots=True)
 class ClientGone:
+    """The client of an open request has closed its connection."""
+
     request_id: int
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """One open req: its life in the module, and whom its answer is for."""
+    """A request in progress: its coroutine in the decision module, and who receives the response."""
 
     coroutine: RequestCoroutine
     received: RequestReceived
-    attempt_servers: list[int] = field(default_factory=list)  # the machine of each try
+    attempt_servers: list[int] = field(default_factory=list)  # the server of each attempt
 
 
 class Dispatcher:
+    """Owns the decision module: passes events to it and executes the actions that it returns."""
+
     ACTOR_NAME = "brain"  # the actor's name in log events
 
-    def __init__(self, told: NodeConfig, clock: Clock, counters: Counters, log: Log):
-        self.node_config, self.clock, self.counters, self.log = told, clock, counters, log
+    def __init__(self, node_config: NodeConfig, clock: Clock, counters: Counters, log: Log):
+        self.node_config, self.clock, self.counters, self.log = node_config, clock, counters, log
         self.mailbox: SimpleQueue = SimpleQueue()
-        self.priority_queue: deque[object] = (
-            deque()
-        )  # lists and news, ahead of the mailbox; emptied by ``hear``
-        self.ended_attempts: deque[AttemptResult] = (
-            deque()
-        )  # of tries, ahead of reqs not yet taken; emptied by ``settle``
-        self.missing_requests = 0  # reqs by which the account was off as last told
-        self.next_expiry_check = 0.0  # when open reqs are next looked over for one that nothing has ended
+        # lists and stage updates, processed before the mailbox; drained by ``apply_updates``
+        self.priority_queue: deque[object] = deque()
+        # results of attempts, processed before new requests; drained by ``process_ended_attempts``
+        self.ended_attempts: deque[AttemptResult] = deque()
+        self.missing_requests = 0  # number of requests missing from the counters when last logged
+        # when the open requests are next searched for one that nothing has ended
+        self.next_expiry_check = 0.0
         self.stream_poller = StreamPoller()
-        self.balancer = Balancer(told.facts, told.seed, clock())
-        self.open_requests: dict[int, OpenRequest] = {}  # emptied as each req ends
-        self.ids_in_use: Counter[bytes] = (
-            Counter()
-        )  # of open reqs and of tries that are out; emptied as each ends
-        self.timers: list[tuple[float, int, RequestCoroutine | None, int]] = []  # emptied as each timer rings
+        self.balancer = Balancer(node_config.facts, node_config.seed, clock())
+        self.open_requests: dict[int, OpenRequest] = {}  # entries are removed as requests end
+        # IDs of open requests and running attempts; entries are removed as they end
+        self.ids_in_use: Counter[bytes] = Counter()
+        # removed as each timer expires
+        self.timers: list[tuple[float, int, RequestCoroutine | None, int]] = []
         self.timer_count = 0
-        self.server_numbers: dict[str, int] = {}  # machine words; grows with the fleet, never with reqs
-        self.server_ids: list[str] = []  # the word of each number in ``index``
-        self.servers: dict[int, UpstreamServer] = {}  # emptied as machines leave the list
-        self.server_places: dict[
-            int, tuple[Address, float]
-        ] = {}  # address and start of each, emptied with them
-        self.logged_stage: tuple[int, int, str, float] | None = None  # the last one told, for the log
-        self.connection_budget = ConnectionBudget(
-            (told.sockets - RESERVED_DESCRIPTORS) // 2
-        )  # the other half is for clients
-        self.out_of_service: tuple[frozenset[str], frozenset[int]] = (
-            frozenset(),
-            frozenset(),
-        )  # machines, zones
-        self.on_stage_update: Callable[[], None] = lambda: (
-            None
-        )  # after the stage's news has reached the module
+        # server number by ID; grows with the fleet, never with requests
+        self.server_numbers: dict[str, int] = {}
+        self.server_ids: list[str] = []  # server ID by number
+        self.servers: dict[int, UpstreamServer] = {}  # entries are removed as servers leave the list
+        # address and start time of each server, removed with it
+        self.server_places: dict[int, tuple[Address, float]] = {}
+        self.logged_stage: tuple[int, int, str, float] | None = None  # the last one logged
+        # the other half is for clients
+        self.connection_budget = ConnectionBudget((node_config.sockets - RESERVED_DESCRIPTORS) // 2)
+        # server IDs and zones that operators took out of service
+        self.out_of_service: tuple[frozenset[str], frozenset[int]] = (frozenset(), frozenset())
+        # called after a stage update has reached the module
+        self.on_stage_update: Callable[[], None] = lambda: None
         self.list_age: Callable[[float], float] = lambda now: 0.0
-        self.cast_vote: Callable[[i.Vote], None] = lambda act: None
+        self.cast_vote: Callable[[i.Vote], None] = lambda action: None
         self.overdue_warnings, self.late_warnings = RateLimitedWarnings(log), RateLimitedWarnings(log, 1)
-        self.admission = AdmissionControl(r.objective_ms for r in told.facts.routes)
-        self.delay_ms = 0.0  # ms that the last message or timer came after its time
-        self.client_count: Callable[[], int] = lambda: 0  # connections held, for the log
+        self.admission = AdmissionControl(r.objective_ms for r in node_config.facts.routes)
+        self.delay_ms = 0.0  # ms by which the last message or timer was processed late
+        self.client_count: Callable[[], int] = lambda: 0  # client connections held, for the log
 
     def run(self) -> None:
-        turn = self.clock()
+        """Process messages, timers and deadlines; does not return."""
+        turn_began_at = self.clock()
         while True:
-            if self.clock() - turn > YIELD_AFTER_MS:
+            if self.clock() - turn_began_at > YIELD_AFTER_MS:
                 gevent.sleep(0)
-                turn = self.clock()
+                turn_began_at = self.clock()
             wait = (self.timers[0][0] - self.clock()) / 1000 if self.timers else 1.0
             message = None
             if wait > 0:
@@ -155,84 +158,95 @@
             self.expire_requests(self.clock())
 
     def attempt_ended(self, message: AttemptResult) -> None:
-        """A try's ending goes ahead of reqs not yet taken: behind thousands of them the answer that it brings
-        would be late, and the open req hold its place for nothing."""
+        """Queue the result of an attempt ahead of requests that have not been processed. Behind thousands of
+        them its response would be late, and the open request would keep its place for nothing."""
         self.ended_attempts.append(message)
         self.mailbox.put(WAKE_MAILBOX)
 
     def process_ended_attempts(self) -> None:
+        """Process the results of attempts that have ended so far."""
         while self.ended_attempts:
             self.handle(self.ended_attempts.popleft())
 
     def handle(self, message: RequestReceived | AttemptResult | ClientGone) -> None:
-        """A fault ends the req that it happened to, at once and as failed, and no other."""
+        """Process one message. An exception ends only the request it belongs to, at once, with a failure
+        response."""
         if self.contained("message", self.process, message, self.clock()):
             return
         if isinstance(message, AttemptResult):
-            if held := self.open_requests.get(message.job.request_id):
-                held.coroutine.close()
-                self.respond(held, response.bad_gateway())
+            if open_request := self.open_requests.get(message.job.request_id):
+                open_request.coroutine.close()
+                self.respond(open_request, response.bad_gateway())
         elif isinstance(message, RequestReceived) and message.request.id not in self.open_requests:
             message.respond(response.bad_gateway())
 
     def expire_requests(self, now: float) -> None:
-        """The one owner of every open req's time: what nothing else has ended is answered as failed. A try's
-        own timeout comes first; this guards against an ending that never comes, as after a fault."""
+        """Answer every open request whose time is over and that nothing else has ended with a failure
+        response. An attempt's own timeout comes first; this guards against an attempt that never reports its
+        result, as after an exception."""
         if now < self.next_expiry_check:
             return
         self.next_expiry_check = now + DEADLINE_SLACK_MS
-        lost = unaccounted_requests(self.counters.counts, len(self.open_requests))
-        if lost != self.missing_requests:
-            # Guards against a req that leaves the account unseen: told once a change, not once a look.
-            self.counters.add("account_off", abs(lost - self.missing_requests))
-            self.log("account off", level="warning", reqs=lost, open=len(self.open_requests))
-            self.missing_requests = lost
-        for held in [
-            x for x in self.open_requests.values() if now > x.received.request.deadline + DEADLINE_SLACK_MS
+        missing = unaccounted_requests(self.counters.counts, len(self.open_requests))
+        if missing != self.missing_requests:
+            # Guards against a request that is missing from the counters: logged once per change, not at every
+            # check.
+            self.counters.add("account_off", abs(missing - self.missing_requests))
+            self.log("account off", level="warning", reqs=missing, open=len(self.open_requests))
+            self.missing_requests = missing
+        for open_request in [
+            candidate
+            for candidate in self.open_requests.values()
+            if now > candidate.received.request.deadline + DEADLINE_SLACK_MS
         ]:
             self.counters.add("reqs_expired")
-            held.coroutine.close()
-            self.respond(held, response.bad_gateway())
+            open_request.coroutine.close()
+            self.respond(open_request, response.bad_gateway())
 
     def post_update(self, message: object) -> None:
-        """Lists and news go ahead of reqs: into the lane, not behind what waits in the mailbox."""
+        """Queue a list or a stage update ahead of requests: in the priority queue, not behind the mailbox."""
         self.priority_queue.append(message)
         self.mailbox.put(WAKE_MAILBOX)
 
     def apply_updates(self) -> None:
-        """Everything told so far reaches the module now, the bytes included that no greenlet has read yet.
-        Called by the brain before each message and by each try before its first byte; never switches."""
+        """Pass every update received so far to the module, including bytes that no greenlet has read yet.
+
+        Called by the dispatcher before each message and by each attempt before its first byte. Never switches
+        greenlets.
+        """
         self.contained("look", self.stream_poller.read_ready)
         while self.priority_queue:
             self.process(self.priority_queue.popleft(), self.clock())
 
     def start(self) -> None:
-        """Once, before ``run``: what the front is told at its start reaches the module."""
+        """Give the module the initial list and stage. Called once, before ``run``."""
         now = self.clock()
         self.set_timer(now, DECISION_WAKEUP, 0)
         self.contained("list", self.apply_listing, self.node_config.initial_list, now)
         self.process(self.node_config.initial_stage, now)
 
-    def contained(self, event: str, call: Callable, *args) -> bool:
-        """Faults of the module stop here: logged with their event, counted, and the front goes on."""
+    def contained(self, event: str, function: Callable, *args) -> bool:
+        """Call a function and contain its exceptions: they are logged with the event's name and counted.
+        False if one occurred."""
         try:
-            call(*args)
+            function(*args)
             return True
         except Exception as error:
             report_fault(event, error, self.counters, self.log)
             return False
 
     def process(self, message: object, now: float) -> None:
+        """Pass one message to the method for its type."""
         match message:
             case RequestReceived():
                 self.record_delay("longest_delay_ms", now - message.received_at, now)
                 self.start_request(message, now)
             case AttemptResult():
                 self.finish_attempt(message, now)
-            case ClientGone(ident):
-                if held := self.open_requests.pop(ident, None):
-                    held.coroutine.close()
-                    self.release_id(held.received.message)
+            case ClientGone(request_id):
+                if open_request := self.open_requests.pop(request_id, None):
+                    open_request.coroutine.close()
+                    self.release_id(open_request.received.message)
                     self.counters.add("reqs_gone")
             case ServerListing():
                 self.counters.add("lists")
@@ -246,213 +260,246 @@
                 self.contained("news", self.apply_stage_update, message, now)
 
     def run_timers(self, now: float) -> None:
+        """Run the timers that are due: the module's wake-up and the waits of requests."""
         while self.timers and self.timers[0][0] <= now:
-            due, _, life, wait = heapq.heappop(self.timers)
+            due, _, coroutine, wait_number = heapq.heappop(self.timers)
             self.record_delay("latest_timer_ms", now - due, now)
-            if life is DECISION_WAKEUP:
+            if coroutine is DECISION_WAKEUP:
                 if not self.contained("wake", lambda: self.execute_actions(self.balancer.wake(now), now)):
-                    self.set_timer(now + 100.0, DECISION_WAKEUP, 0)  # a fault must not end the module's clock
-            elif life.wait_number == wait and life.request_id in self.open_requests:
-                self.resume(self.open_requests[life.request_id], None, now)
-
-    def record_delay(self, what: str, lag: float, now: float) -> None:
-        """How long what is taken up now has waited for this actor."""
-        self.delay_ms = lag
-        self.counters.record_high(what, lag)
-        if lag > LATE_WARNING_MS:
-            out, waiting = self.connection_budget.in_use, self.mailbox.qsize()
+                    # an exception must not stop the module's timer
+                    self.set_timer(now + 100.0, DECISION_WAKEUP, 0)
+            elif coroutine.wait_number == wait_number and coroutine.request_id in self.open_requests:
+                self.resume(self.open_requests[coroutine.request_id], None, now)
+
+    def record_delay(self, counter: str, delay_ms: float, now: float) -> None:
+        """Record how late, in ms, a message or timer is processed, and log it when it is over the limit."""
+        self.delay_ms = delay_ms
+        self.counters.record_high(counter, delay_ms)
+        if delay_ms > LATE_WARNING_MS:
+            connections, queued = self.connection_budget.in_use, self.mailbox.qsize()
             state = dict(
-                open=len(self.open_requests), clients=self.client_count(), links=out, mailbox=waiting
+                open=len(self.open_requests), clients=self.client_count(), links=connections, mailbox=queued
             )
-            self.late_warnings("behind", now, what=what, lag_ms=round(lag, 1), **state)
+            self.late_warnings("behind", now, what=counter, lag_ms=round(delay_ms, 1), **state)
 
-    def apply_stage_update(self, news: i.StageUpdate, now: float) -> None:
-        stage = (news.build, news.stage, news.phase.name, news.cap)
-        if news.outcome == i.Outcome.COMPLETED and stage != self.logged_stage:
+    def apply_stage_update(self, update: i.StageUpdate, now: float) -> None:
+        """Pass a stage update to the module, and log the stage if it is a new one."""
+        stage = (update.build, update.stage, update.phase.name, update.cap)
+        if update.outcome == i.Outcome.COMPLETED and stage != self.logged_stage:
             self.logged_stage = stage
-            self.log("stage", build=news.build, stage=news.stage, phase=news.phase.name, cap=news.cap)
-        self.execute_actions(self.balancer.update_stage(news, now), now)
+            self.log("stage", build=update.build, stage=update.stage, phase=update.phase.name, cap=update.cap)
+        self.execute_actions(self.balancer.update_stage(update, now), now)
         self.on_stage_update()
 
-    def set_timer(self, at: float, life: RequestCoroutine | None, wait: int) -> None:
+    def set_timer(self, at: float, coroutine: RequestCoroutine | None, wait_number: int) -> None:
+        """Add a timer. One of a request is void if the request is in another wait by then."""
         self.timer_count += 1
-        heapq.heappush(self.timers, (at, self.timer_count, life, wait))
+        heapq.heappush(self.timers, (at, self.timer_count, coroutine, wait_number))
 
     def start_request(self, message: RequestReceived, now: float) -> None:
-        rq, word = message.request, message.message.header(b"x-txn")
-        unread = self.admission.decide(
-            message.read_delay_ms + now - message.received_at, rq.deadline - now, now
+        """Give a request to the module, or reject it if it waited too long or its ID is in use."""
+        request, transaction = message.request, message.message.header(b"x-txn")
+        decision = self.admission.decide(
+            message.read_delay_ms + now - message.received_at, request.deadline - now, now
         )
-        if unread != AdmissionDecision.TAKE:
-            self.counters.add(f"reqs_waited_{unread.name.lower()}")
+        if decision != AdmissionDecision.TAKE:
+            self.counters.add(f"reqs_waited_{decision.name.lower()}")
             message.respond(response.overloaded(self.node_config.facts))
             return
-        if word in self.ids_in_use:
-            # Guards against a second copy: this id is another client's, and its tries may still run.
+        if transaction in self.ids_in_use:
+            # Guards against a second copy: this ID belongs to another request, whose attempts may still run.
             message.respond(response.rejected(409))
             return
-        self.ids_in_use[word] = 1
+        self.ids_in_use[transaction] = 1
         self.counters.add("reqs_taken")
-        held = OpenRequest(RequestCoroutine(rq.id, self.balancer.serve_request(rq, now)), message)
-        self.open_requests[rq.id] = held
-        self.resume(held, None, now)
+        open_request = OpenRequest(
+            RequestCoroutine(request.id, self.balancer.serve_request(request, now)), message
+        )
+        self.open_requests[request.id] = open_request
+        self.resume(open_request, None, now)
 
     def finish_attempt(self, message: AttemptResult, now: float) -> None:
+        """Pass the result of an attempt to the module and to its request, if that is still open."""
         job = message.job
         self.release_id(job.message)
-        held = self.open_requests.get(job.request_id)
+        open_request = self.open_requests.get(job.request_id)
         done = message.outcome == i.Outcome.COMPLETED
         load = self.load_report(message)
-        over, connected_at = held is None or done, message.connected_at
+        finished, connected_at = open_request is None or done, message.connected_at
         ended = i.AttemptEnded(
-            job.server, job.attempt_number, message.outcome, message.duration_ms, load, over, connected_at
+            job.server, job.attempt_number, message.outcome, message.duration_ms, load, finished, connected_at
         )
         self.contained("try ended", self.balancer.record_outcome, job.request_id, ended, now)
-        if held and done:
-            held.coroutine.close()
-            self.respond(held, response.completed(message.result))
-        elif held:
-            self.resume(held, ended, now)
+        if open_request and done:
+            open_request.coroutine.close()
+            self.respond(open_request, response.completed(message.result))
+        elif open_request:
+            self.resume(open_request, ended, now)
 
     def release_id(self, message: Message) -> None:
-        word = message.header(b"x-txn")
-        self.ids_in_use[word] -= 1
-        if self.ids_in_use[word] <= 0:
-            del self.ids_in_use[word]
+        """Give up one use of a request's ID."""
+        transaction = message.header(b"x-txn")
+        self.ids_in_use[transaction] -= 1
+        if self.ids_in_use[transaction] <= 0:
+            del self.ids_in_use[transaction]
 
     def load_report(self, message: AttemptResult) -> float | None:
-        """What the machine's load report, if it sent one, says of the reqs it holds."""
+        """Requests in progress on the server according to the response's load report; None without a
+        report."""
         if self.node_config.facts.load_column is None or not isinstance(message.result, UpstreamResponse):
             return None
         return reported_load(message.result.header(b"x-pressure"))
 
-    def resume(self, held: OpenRequest, ended: i.AttemptEnded | None, now: float) -> None:
+    def resume(self, open_request: OpenRequest, ended: i.AttemptEnded | None, now: float) -> None:
+        """Resume a request's coroutine, execute its actions and start the timer of its next wait."""
         try:
-            for act in held.coroutine.resume(ended, now):
-                self.execute(held, act, now)
+            for action in open_request.coroutine.resume(ended, now):
+                self.execute(open_request, action, now)
         except Exception as error:
             report_fault("req", error, self.counters, self.log)
-            held.coroutine.close()
-        if held.coroutine.finished:
-            if held.coroutine.request_id in self.open_requests:
-                self.respond(held, response.bad_gateway())
-        elif held.coroutine.max_wait_ms is not None:
-            self.set_timer(now + held.coroutine.max_wait_ms, held.coroutine, held.coroutine.wait_number)
-
-    def execute(self, held: OpenRequest, act: i.Action, now: float) -> None:
-        match act:
+            open_request.coroutine.close()
+        if open_request.coroutine.finished:
+            if open_request.coroutine.request_id in self.open_requests:
+                self.respond(open_request, response.bad_gateway())
+        elif open_request.coroutine.max_wait_ms is not None:
+            self.set_timer(
+                now + open_request.coroutine.max_wait_ms,
+                open_request.coroutine,
+                open_request.coroutine.wait_number,
+            )
+
+    def execute(self, open_request: OpenRequest, action: i.Action, now: float) -> None:
+        """Execute one action of a request."""
+        match action:
             case i.SendAttempt():
-                self.start_attempt(held, act, now)
+                self.start_attempt(open_request, action, now)
             case i.Shed():
-                self.respond(held, response.shed(act.retry_after_ms))
+                self.respond(open_request, response.shed(action.retry_after_ms))
             case i.Fail():
-                self.respond(held, response.bad_gateway())
+                self.respond(open_request, response.bad_gateway())
             case i.CancelAttempt():
-                if machine := self.servers.get(held.attempt_servers[act.attempt_number]):
-                    machine.mailbox.put(StopAttempt(held.coroutine.request_id, act.attempt_number))
+                if server := self.servers.get(open_request.attempt_servers[action.attempt_number]):
+                    server.mailbox.put(StopAttempt(open_request.coroutine.request_id, action.attempt_number))
             case _:
-                raise TypeError(f"no action of a req: {act!r}")
-
-    def start_attempt(self, held: OpenRequest, act: i.SendAttempt, now: float) -> None:
-        row = self.balancer.servers[act.server].entry
-        ends_at = min(now + act.timeout_ms, held.received.request.deadline)
-        ticket = (row.build, row.started_at, self.exposure_cap(row.build))
-        number, message = len(held.attempt_servers), held.received.message
-        job = AttemptJob(held.coroutine.request_id, number, act.server, message, now, ends_at, ticket)
-        held.attempt_servers.append(act.server)
+                raise TypeError(f"not an action of a request: {action!r}")
+
+    def start_attempt(self, open_request: OpenRequest, action: i.SendAttempt, now: float) -> None:
+        """Hand an attempt to its server's actor, with the preconditions of the decision."""
+        entry = self.balancer.servers[action.server].entry
+        deadline = min(now + action.timeout_ms, open_request.received.request.deadline)
+        preconditions = (entry.build, entry.started_at, self.exposure_cap(entry.build))
+        attempt_number, message = len(open_request.attempt_servers), open_request.received.message
+        job = AttemptJob(
+            open_request.coroutine.request_id,
+            attempt_number,
+            action.server,
+            message,
+            now,
+            deadline,
+            preconditions,
+        )
+        open_request.attempt_servers.append(action.server)
         self.ids_in_use[message.header(b"x-txn")] += 1
         self.counters.add("tries")
-        self.servers[act.server].mailbox.put(StartAttempt(job))
+        self.servers[action.server].mailbox.put(StartAttempt(job))
 
     def exposure_cap(self, build: int) -> float:
+        """The cap of a build on trial, inf for any other build."""
         return self.balancer.exposure_cap(build)[0] if self.balancer.is_on_trial(build) else float("inf")
 
     def preconditions_hold(self, job: AttemptJob) -> bool:
-        """Whether what the list and the news said when the module chose the machine still holds, after all
-        that has been told by now. Asked directly before the first byte."""
+        """Check the attempt's preconditions anew: whether the list and the stage that the module chose the
+        server by still hold after every update received so far. Called directly before the first byte is
+        written."""
         self.apply_updates()
         if job.request_id not in self.open_requests:
             self.counters.add("sends_stopped_by_leaving")
             return False
-        known = self.balancer.servers.get(job.server)
-        build, started, cap = job.preconditions
-        listed = known is not None and self.balancer.may_send_to(known, self.clock())
-        if not listed or (known.entry.build, known.entry.started_at) != (build, started):
+        server = self.balancer.servers.get(job.server)
+        build, started_at, cap = job.preconditions
+        listed = server is not None and self.balancer.may_send_to(server, self.clock())
+        if not listed or (server.entry.build, server.entry.started_at) != (build, started_at):
             self.counters.add("sends_stopped_by_list")
             return False
         if self.exposure_cap(build) < cap:
             self.counters.add("sends_stopped_by_cap")
             return False
-        age = self.list_age(self.clock())
-        self.counters.record_high("list_age_ms", age)
-        self.log_attempt(job, age)
+        list_age_ms = self.list_age(self.clock())
+        self.counters.record_high("list_age_ms", list_age_ms)
+        self.log_attempt(job, list_age_ms)
         return True
 
-    def log_attempt(self, job: AttemptJob, list_age: float) -> None:
-        """Names the request, its server and the age of the list that it goes by."""
+    def log_attempt(self, job: AttemptJob, list_age_ms: float) -> None:
+        """Log the request, its server and the age of the server list that the choice was based on."""
         if self.log.is_enabled("debug"):
-            what = dict(
+            fields = dict(
                 txn=transaction_id(job.message),
                 attempt=job.attempt_number,
                 server=self.server_ids[job.server],
             )
-            self.log("attempt", level="debug", list_age_ms=round(list_age, 1), **what)
+            self.log("attempt", level="debug", list_age_ms=round(list_age_ms, 1), **fields)
 
-    def respond(self, held: OpenRequest, final: response.Response) -> None:
-        if self.open_requests.pop(held.coroutine.request_id, None):
-            self.release_id(held.received.message)
-            self.counters.add(f"reqs_{final.kind}")
+    def respond(self, open_request: OpenRequest, final_response: response.Response) -> None:
+        """Send the final response of an open request and close it; does nothing if it is closed."""
+        if self.open_requests.pop(open_request.coroutine.request_id, None):
+            self.release_id(open_request.received.message)
+            self.counters.add(f"reqs_{final_response.kind}")
             if self.log.is_enabled("debug"):
-                what = dict(
-                    txn=transaction_id(held.received.message),
-                    kind=final.kind,
-                    attempts=len(held.attempt_servers),
+                fields = dict(
+                    txn=transaction_id(open_request.received.message),
+                    kind=final_response.kind,
+                    attempts=len(open_request.attempt_servers),
                 )
-                self.log("answer", level="debug", **what)
-            held.received.respond(final)
-            self.log_overdue(held, final.kind, self.clock())
-
-    def log_overdue(self, held: OpenRequest, kind: str, now: float) -> None:
-        """An answer after its req's time names the req, so that one lost can be followed."""
-        over = now - held.received.request.deadline
-        if over <= DEADLINE_SLACK_MS:
+                self.log("answer", level="debug", **fields)
+            open_request.received.respond(final_response)
+            self.log_overdue(open_request, final_response.kind, self.clock())
+
+    def log_overdue(self, open_request: OpenRequest, kind: str, now: float) -> None:
+        """Log the ID of a request that was answered after its deadline, so that it can be traced."""
+        overdue_ms = now - open_request.received.request.deadline
+        if overdue_ms <= DEADLINE_SLACK_MS:
             return
         self.counters.add("answers_overdue")
-        held_ms = now - held.received.received_at
-        times = dict(over_ms=round(over, 1), held_ms=round(held_ms, 1), lag_ms=round(self.delay_ms, 1))
-        what = dict(txn=transaction_id(held.received.message), kind=kind, tries=len(held.attempt_servers))
-        self.overdue_warnings("answer overdue", now, **what, **times)
+        held_ms = now - open_request.received.received_at
+        times = dict(over_ms=round(overdue_ms, 1), held_ms=round(held_ms, 1), lag_ms=round(self.delay_ms, 1))
+        fields = dict(
+            txn=transaction_id(open_request.received.message),
+            kind=kind,
+            tries=len(open_request.attempt_servers),
+        )
+        self.overdue_warnings("answer overdue", now, **fields, **times)
 
     def execute_actions(self, actions: Iterable[i.Action], now: float) -> None:
-        for act in actions:
-            match act:
+        """Execute actions of the module that belong to no request."""
+        for action in actions:
+            match action:
                 case i.WakeAt(at):
                     self.set_timer(at, DECISION_WAKEUP, 0)
                 case i.Vote():
                     self.counters.add("votes")
-                    self.log("vote", build=act.build, verdict=act.verdict.name, stage=act.stage)
-                    self.cast_vote(act)
+                    self.log("vote", build=action.build, verdict=action.verdict.name, stage=action.stage)
+                    self.cast_vote(action)
                 case i.LogMessage(text):
                     self.log("note", text=text)
                 case _:
-                    raise TypeError(f"not carried out here: {act!r}")
+                    raise TypeError(f"not executed by the dispatcher: {action!r}")
 
     def record_starts(self, listing: ServerListing, now: float) -> None:
-        """Starts that this listing is the first to tell."""
-        for entry in listing.servers:
-            known = self.server_places.get(self.server_numbers.get(entry.server_id, -1))
-            if known is None or known[1] != entry.entry.started_at:
-                self.balancer.start_clock.observe(entry.entry.started_at, now, listing.watched)
+        """Record the starts of servers that this list is the first to contain."""
+        for server in listing.servers:
+            place = self.server_places.get(self.server_numbers.get(server.server_id, -1))
+            if place is None or place[1] != server.entry.started_at:
+                self.balancer.start_clock.observe(server.entry.started_at, now, listing.watched)
 
     def apply_listing(self, listing: ServerListing, now: float) -> None:
-        """The list reaches the module and the machines' actors before any send that follows it."""
+        """Apply a server list to the module and to the servers' actors, before any attempt that follows."""
         self.record_starts(listing, now)
-        for e in listing.servers:
-            number = self.server_numbers.setdefault(e.server_id, len(self.server_numbers))
+        for server in listing.servers:
+            number = self.server_numbers.setdefault(server.server_id, len(self.server_numbers))
             if number == len(self.server_ids):
-                self.server_ids.append(e.server_id)
-            e.entry.server = number
-            place = (e.address, e.entry.started_at)
+                self.server_ids.append(server.server_id)
+            server.entry.server = number
+            place = (server.address, server.entry.started_at)
             if number not in self.servers:
                 args = (
                     self.node_config,
@@ -462,22 +509,24 @@
                     self.attempt_ended,
                     self.preconditions_hold,
                 )
-                actor = self.servers[number] = UpstreamServer(e.address, *args)
+                actor = self.servers[number] = UpstreamServer(server.address, *args)
                 gevent.spawn(keep_running, "machine", actor.run, self.counters, self.log)
             elif self.server_places[number] != place:
-                self.servers[number].mailbox.put(ServerAddressChanged(e.address))
+                self.servers[number].mailbox.put(ServerAddressChanged(server.address))
             self.server_places[number] = place
-        words, zones = self.out_of_service
-        rows = [
-            # What operators set aside drains: it finishes what it has and gets nothing new.
-            e.as_draining().entry
-            if e.entry.status == IN_SERVICE and (e.server_id in words or e.entry.zone in zones)
-            else e.entry
-            for e in listing.servers
+        server_ids, zones = self.out_of_service
+        entries = [
+            # A server that operators took out of service drains: it finishes its requests and gets no new
+            # ones.
+            server.as_draining().entry
+            if server.entry.status == IN_SERVICE
+            and (server.server_id in server_ids or server.entry.zone in zones)
+            else server.entry
+            for server in listing.servers
         ]
         self.execute_actions(
-            self.balancer.update_server_list(i.ServerListUpdate(listing.kind, rows), now), now
+            self.balancer.update_server_list(i.ServerListUpdate(listing.kind, entries), now), now
         )
-        for number in [n for n in self.servers if n not in self.balancer.servers]:
+        for number in [number for number in self.servers if number not in self.balancer.servers]:
             self.servers.pop(number).mailbox.put(ServerRemoved())
             del self.server_places[number]
--- a/myrtleroad/net/front.py
+++ b/myrtleroad/net/front.py
@@ -1,4 +1,4 @@
-"""The front put together: who is started, in which order, and how it stops."""
+"""Assembles a front: which actors are started, in which order, and how the front stops."""
 
 import gc
 import os
@@ -29,43 +29,46 @@
 
 
 class Front:
-    def __init__(self, told: NodeConfig, log_to: int = 1, front_file: str | None = None):
-        self.node_config, self.clock, self.counters = told, Clock(), Counters()
+    """One front process: its actors and its signal handlers."""
+
+    def __init__(self, node_config: NodeConfig, log_fd: int = 1, front_file: str | None = None):
+        self.node_config, self.clock, self.counters = node_config, Clock(), Counters()
         try:
             level = level_from_environment(os.environ)
         except ValueError as error:
             raise ConfigError(str(error)) from None
-        self.log = Log(self.clock, log_to, level)
-        self.dispatcher = Dispatcher(told, self.clock, self.counters, self.log)
+        self.log = Log(self.clock, log_fd, level)
+        self.dispatcher = Dispatcher(node_config, self.clock, self.counters, self.log)
         deliver = self.dispatcher.mailbox.put
-        tell = self.dispatcher.post_update
-        post = FollowerContext(self.clock, tell, self.dispatcher.stream_poller)
-        self.discovery = DiscoveryClient(told, self.counters, self.log, post)
-        self.stage_updates = StageUpdates(told, self.counters, self.log, post)
+        post_update = self.dispatcher.post_update
+        context = FollowerContext(self.clock, post_update, self.dispatcher.stream_poller)
+        self.discovery = DiscoveryClient(node_config, self.counters, self.log, context)
+        self.stage_updates = StageUpdates(node_config, self.counters, self.log, context)
         self.dispatcher.list_age = self.discovery.stream_follower.age_ms
         self.dispatcher.balancer.lease = self.discovery.lease
         self.started_at = self.clock()
-        self.vote_caster = VoteCaster(told, self.counters, self.log, tell)
+        self.vote_caster = VoteCaster(node_config, self.counters, self.log, post_update)
         self.dispatcher.cast_vote = self.vote_caster.mailbox.put
         self.client_listener = ClientListener(
-            told, self.clock, self.counters, self.log, deliver, self.is_ready
+            node_config, self.clock, self.counters, self.log, deliver, self.is_ready
         )
         self.dispatcher.client_count = lambda: len(self.client_listener.connections)
         self.stop_event, self.was_ready = Event(), False
         self.front_file, self.config_versions = front_file, None
         if front_file is not None:
-            # Loaded only where it is wanted: a front without fits its memory as before.
+            # Imported only if needed: without it a front uses no more memory than before.
             from myrtleroad.net import operator_limits
             from myrtleroad.net.front_file import control_address
 
-            if (at := control_address(front_file)) is not None:
-                holder = operator_limits.OperatorLimits(
-                    told, self.clock, self.dispatcher, self.discovery, self.client_listener
+            if (address := control_address(front_file)) is not None:
+                limits = operator_limits.OperatorLimits(
+                    node_config, self.clock, self.dispatcher, self.discovery, self.client_listener
                 )
-                self.config_versions = holder.config_versions(at, self.counters, self.log)
+                self.config_versions = limits.config_versions(address, self.counters, self.log)
 
     def is_ready(self) -> bool:
-        """Once the list is in the module, or could not be had for a while, and so the platform's news."""
+        """Whether the list has reached the module, or was unavailable for long enough, and the first stage
+        update is in."""
         if self.stop_event.is_set() or not self.stage_updates.answered:
             return False
         if not self.was_ready and not self.discovery.lease.may_start(self.clock(), self.started_at):
@@ -76,6 +79,7 @@
         return True
 
     def run(self) -> None:
+        """Start the actors, run until the first signal to stop, and drain."""
         gevent.signal_handler(signal.SIGTERM, self.on_term)
         gevent.signal_handler(signal.SIGINT, self.on_term)
         gevent.signal_handler(signal.SIGUSR1, self.log_counters)
@@ -95,26 +99,26 @@
         if self.config_versions is not None:
             gevent.spawn(keep_running, "versions", self.config_versions.run, self.counters, self.log)
         gc.collect()
-        gc.freeze()  # what is there for good need not be looked through at each collection
+        gc.freeze()  # long-lived objects need not be traversed at each collection
         self.stop_event.wait()
         self.drain()
 
     def on_term(self) -> None:
-        """The first begins the stop; further ones change nothing, as what was taken is still owed."""
+        """Begin the stop. Further signals change nothing, as accepted requests are still to be answered."""
         self.stop_event.set()
 
     def reload(self) -> None:
-        """Take up a new configuration: the addresses of discovery and platform go to their actors. One that
-        cannot be read changes nothing."""
+        """Apply a new configuration: the addresses of discovery and platform are sent to their actors. A
+        configuration that cannot be read changes nothing."""
         try:
             new = read_node_config()
-        except ConfigError as fault:
+        except ConfigError as error:
             self.counters.add("reloads_unclear")
-            self.log("reload refused", why=str(fault))
+            self.log("reload refused", why=str(error))
             return
         self.counters.add("reloads")
-        kept = fields_needing_restart(self.node_config, new)
-        self.log("reload", discovery=new.discovery, platform=new.platform, kept_as_started=kept)
+        kept_as_started = fields_needing_restart(self.node_config, new)
+        self.log("reload", discovery=new.discovery, platform=new.platform, kept_as_started=kept_as_started)
         self.discovery.post(AddressChanged(new.discovery))
         self.stage_updates.post(AddressChanged(new.platform))
         self.vote_caster.mailbox.put(AddressChanged(new.platform))
@@ -122,22 +126,23 @@
             from myrtleroad.net.front_file import control_address
 
             try:
-                at = control_address(self.front_file)
-            except ConfigError as fault:
-                self.log("reload refused", why=str(fault))
+                address = control_address(self.front_file)
+            except ConfigError as error:
+                self.log("reload refused", why=str(error))
                 return
-            if at is not None:
-                self.config_versions.mailbox.put(AddressChanged(at))
+            if address is not None:
+                self.config_versions.mailbox.put(AddressChanged(address))
 
     def drain(self) -> None:
-        """Answer whatever comes while connections may still arrive, then what is held, then end."""
+        """Answer requests while connections may still arrive, then finish the open ones, then stop."""
         self.log("stopping", open=len(self.dispatcher.open_requests))
         self.client_listener.stopping = True
         gevent.sleep(LATE_CONNECTIONS_S)
-        last = self.clock() + max(r.timeout_ms for r in self.node_config.facts.routes)  # for reqs half come
-        self.client_listener.stop_listening(last)
+        # for requests that are only partly received
+        deadline = self.clock() + max(route.timeout_ms for route in self.node_config.facts.routes)
+        self.client_listener.stop_listening(deadline)
         while self.dispatcher.open_requests or (
-            self.clock() < last and not all(c.is_idle for c in self.client_listener.connections)
+            self.clock() < deadline and not all(client.is_idle for client in self.client_listener.connections)
         ):
             gevent.sleep(0.01)
         self.log_counters()
@@ -145,6 +150,11 @@
         self.log.flush()
 
     def log_counters(self) -> None:
-        held, open_now, dropped = len(self.dispatcher.open_requests), open_descriptors(), self.log.dropped
+        """Log all counters."""
+        open_count, descriptors, dropped = (
+            len(self.dispatcher.open_requests),
+            open_descriptors(),
+            self.log.dropped,
+        )
         counts = self.counters.snapshot()
-        self.log("counters", open=held, descriptors=open_now, log_dropped=dropped, counts=counts)
+        self.log("counters", open=open_count, descriptors=descriptors, log_dropped=dropped, counts=counts)
--- a/myrtleroad/net/front_file.py
+++ b/myrtleroad/net/front_file.py
@@ -1,4 +1,4 @@
-"""What a front is told in a file of our own, beside the platform's configuration: a KDL document."""
+"""Settings of a front in a KDL file of this project, in addition to the platform's configuration."""
 
 from pathlib import Path
 
@@ -8,7 +8,8 @@
 
 
 def control_address(file: str) -> Address | None:
-    """The control service that the file names, None where it names none. Raises Unclear, one line a fault."""
+    """The address of the control service in the file, None without one. Raises ConfigError with one line per
+    error."""
     try:
         nodes, faults = read_document(Path(file).read_bytes())
     except OSError as error:
@@ -17,7 +18,7 @@
     for _ in check.check_in_slices():
         pass
     if faults := faults + check.faults:
-        raise ConfigError("\n".join(f.describe(file) for f in faults))
+        raise ConfigError("\n".join(fault.describe(file) for fault in faults))
     for root in check.roots:
         try:
             return parse_address(str(root.arg))
--- a/myrtleroad/net/log.py
+++ b/myrtleroad/net/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, written by a greenlet of its own so that no req waits for it."""
+"""The log: one JSON line per event, written by a separate greenlet so that no request waits for it."""
 
 import os
 from collections import deque
@@ -10,11 +10,12 @@
 from gevent.os import make_nonblocking, nb_write
 
 LEVELS = {"debug": 0, "info": 1, "warning": 2}
-LEVEL_VARIABLE = "MYRTLEROAD_LOG_LEVEL"  # of the environment; a version of what operators set goes before it
+# environment variable; a configuration version takes precedence over it
+LEVEL_VARIABLE = "MYRTLEROAD_LOG_LEVEL"
 
 
 def level_from_environment(environment: Mapping[str, str]) -> str:
-    """The level that the environment asks for, ``info`` where it asks for none. Raises ValueError."""
+    """The log level set in the environment, ``info`` by default. Raises ValueError for an unknown level."""
     level = environment.get(LEVEL_VARIABLE, "info")
     if level not in LEVELS:
         raise ValueError(f"{LEVEL_VARIABLE}: {level!r} is none of {', '.join(LEVELS)}")
@@ -25,19 +26,22 @@
 
 
 class Log:
+    """Queues lines and writes them to a descriptor without blocking the caller."""
+
     ACTOR_NAME = "log"  # the actor's name in log events
     MAX_LINES = 1000  # lines that wait for a slow reader; later ones are dropped and counted
 
     def __init__(self, clock: Callable[[], float], fd: int = 1, level: str = "info"):
         self.clock, self.fd = clock, fd
-        self.lines: deque[bytes] = deque()  # emptied by the writer
+        self.lines: deque[bytes] = deque()  # drained by the writer
         self.dropped = 0
-        self.level = level  # lines under it are not written; a version may set it
+        self.level = level  # lines below it are not written; a configuration version may change it
         self.has_lines = Event()
         make_nonblocking(fd)
 
     def __call__(self, event: str, *, level: str = "info", **fields: object) -> None:
-        """``level`` says whether somebody should look (``warning``) or not."""
+        """Queue a line. ``level`` is ``warning`` for events that need attention, ``info`` or ``debug`` for
+        others."""
         if LEVELS[level] < LEVELS[self.level]:
             return
         if len(self.lines) >= self.MAX_LINES:
@@ -50,10 +54,11 @@
         self.has_lines.set()
 
     def is_enabled(self, level: str) -> bool:
-        """Whether a line of this level would be written, for callers whose fields cost something."""
+        """Whether a line of this level would be written, for callers whose fields are costly to compute."""
         return LEVELS[level] >= LEVELS[self.level]
 
     def run(self) -> None:
+        """Write queued lines; does not return."""
         while True:
             self.has_lines.wait()
             self.has_lines.clear()
@@ -61,7 +66,8 @@
                 self.write(self.lines.popleft())
 
     def write(self, line: bytes) -> None:
-        """One line; one that the system does not take is dropped and counted, and costs nothing else."""
+        """Write one line. A line that the system does not accept is dropped and counted; nothing else
+        fails."""
         try:
             while line:
                 line = line[nb_write(self.fd, line) :]
@@ -70,23 +76,22 @@
             gevent.sleep(RETRY_DELAY_S)
 
     def flush(self) -> None:
-        """At exit: what still waits, as far as the reader takes it within a moment."""
+        """At exit: write the lines still queued, as far as the reader accepts them within 0.5 s."""
         with gevent.Timeout(0.5, False):
             while self.lines:
                 self.write(self.lines.popleft())
 
 
 class RateLimitedWarnings:
-    """Lines that trouble brings by thousands: ``most`` of a kind a second are written, the first of the next
-    second says how many were not. Guards against a log that is itself the next trouble."""
+    """Warnings that a fault can trigger by the thousand: at most ``max_per_second`` per second are written,
+    and the first of the next second carries the number left out. Guards against a log that becomes a fault of
+    its own."""
 
     __slots__ = ("left_out", "log", "max_per_second", "second", "written")
 
-    def __init__(self, log: Callable[..., None], most: int = 5):
-        self.log, self.max_per_second = (
-            log,
-            most,
-        )  # as many as a reader can compare; a flood alike says no more
+    def __init__(self, log: Callable[..., None], max_per_second: int = 5):
+        # as many as a reader can compare; more of the same add no information
+        self.log, self.max_per_second = log, max_per_second
         self.second, self.written, self.left_out = 0, 0, 0
 
     def __call__(self, event: str, now: float, **fields: object) -> None:
@@ -103,7 +108,7 @@
 
 
 def open_descriptors() -> int:
-    """How many the process holds, -1 where the system does not say."""
+    """The number of descriptors open in the process, -1 if the system does not report it."""
     try:
         return len(os.listdir("/proc/self/fd"))
     except OSError:
--- a/myrtleroad/net/node_config.py
+++ b/myrtleroad/net/node_config.py
@@ -1,4 +1,4 @@
-"""What a front is told at its start and by each new configuration: NODE_CONFIG, decoded once a reading."""
+"""The configuration of a front at its start and at each reload: NODE_CONFIG, decoded once per read."""
 
 import math
 import os
@@ -28,42 +28,49 @@
 }
 
 
-DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)  # by whoever decodes words
+# raised by functions that decode data of other processes
+DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be read, in one plain line."""
+    """A configuration that cannot be read; the message is one line."""
 
 
 @dataclass(slots=True)
 class ListedServer:
-    """One machine as discovery lists it; the row's index is the front's to give."""
+    """One server as discovery lists it; the front assigns the number in ``entry.server``."""
 
     server_id: str
     address: Address
     entry: i.ServerEntry
 
     def as_draining(self) -> "ListedServer":
+        """The same server with the status draining."""
         return ListedServer(self.server_id, self.address, replace(self.entry, status=i.ServerStatus.DRAINING))
 
 
 @dataclass(slots=True)
 class ServerListing:
+    """A server list, or changes to one, in discovery's order."""
+
     version: int
     kind: i.ListKind
     servers: list[ListedServer]
-    watched: bool = False  # changes that came as they happened, on a watch that has been followed all along
+    # changes received as they happened, on a watch that was followed without interruption
+    watched: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class AddressChanged:
-    """A new configuration names another address for a peer."""
+    """A new configuration gives a peer another address."""
 
     address: Address
 
 
 @dataclass(slots=True)
 class NodeConfig:
+    """A front's whole configuration, decoded."""
+
     name: str
     listen: Address
     discovery: Address
@@ -81,17 +88,18 @@
     idle_ms: float
 
     def limits(self, cap: float | None = None, control: str | None = None) -> "rules.FrontLimits":
-        """What a version of what operators set is held against: ``cap`` is the one told last, of a build on
-        trial, else the start's; ``control`` the address that versions come from."""
+        """Limits that a configuration version is checked against. ``cap`` is the latest one received for a
+        build on trial, or else the initial one; ``control`` is the address of the control service."""
         from myrtleroad.config import rules
 
         return rules.FrontLimits(
             routes={
-                name.decode(): rules.RouteLimits(r.objective_ms, r.timeout_ms)
-                for name, r in zip(self.routes, self.facts.routes, strict=True)
+                name.decode(): rules.RouteLimits(route.objective_ms, route.timeout_ms)
+                for name, route in zip(self.routes, self.facts.routes, strict=True)
             },
             tenants={
-                name.decode(): t.quota_per_s for name, t in zip(self.tenants, self.facts.tenants, strict=True)
+                name.decode(): tenant.quota_per_s
+                for name, tenant in zip(self.tenants, self.facts.tenants, strict=True)
             },
             zones=tuple(self.zones),
             max_attempts=self.facts.max_attempts,
@@ -104,79 +112,85 @@
 
 
 def parse_address(text: str) -> Address:
+    """Split ``host:port``. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not 0 <= int(port) < 65536:
-        raise ValueError(f"no address: {text}")
+        raise ValueError(f"not an address: {text}")
     return host, int(port)
 
 
-def bounded_number(value: Any, most: float = math.inf) -> float:
-    """A figure that means something: a peer that spoils its words may send any."""
+def bounded_number(value: Any, maximum: float = math.inf) -> float:
+    """A finite number from 0 to ``maximum``; a peer that corrupts its data may send anything. Raises
+    ValueError."""
     number = float(value)
-    if not 0 <= number <= most or number == math.inf:
+    if not 0 <= number <= maximum or number == math.inf:
         raise ValueError(f"out of range: {value}")
     return number
 
 
 def non_negative_int(value: Any) -> int:
+    """An integer of at least 0. Raises one of ``DECODE_ERRORS``."""
     return int(bounded_number(int(value)))
 
 
 def json_object(text: bytes) -> dict[str, Any]:
-    """An object in JSON; ValueError where it is anything else."""
-    m = orjson.loads(text)
-    if not isinstance(m, dict):
-        raise ValueError("no object")
-    return m
+    """Decode a JSON object; raises ValueError for anything else."""
+    data = orjson.loads(text)
+    if not isinstance(data, dict):
+        raise ValueError("not an object")
+    return data
 
 
-def listed_server(e: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> ListedServer:
+def listed_server(fields: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> ListedServer:
+    """Decode one server entry of discovery. Raises one of ``DECODE_ERRORS``."""
     return ListedServer(
-        server_id=str(e["instanceId"]),
-        address=parse_address(e["hostPort"]),
+        server_id=str(fields["instanceId"]),
+        address=parse_address(fields["hostPort"]),
         entry=i.ServerEntry(
             server=-1,
-            status=STATUSES[e["lifecycle"]],
-            build=non_negative_int(e.get("version_no") or 0),
-            zone=zones.get(e.get("zone"), 0),
-            cell=int(e.get("cell") or 0),
-            server_type=kinds.get(e.get("machineType"), 0),
-            weight=bounded_number(e.get("weight", 1.0)),
-            started_at=bounded_number(e.get("startedAtMs") or 0),
+            status=STATUSES[fields["lifecycle"]],
+            build=non_negative_int(fields.get("version_no") or 0),
+            zone=zones.get(fields.get("zone"), 0),
+            cell=int(fields.get("cell") or 0),
+            server_type=kinds.get(fields.get("machineType"), 0),
+            weight=bounded_number(fields.get("weight", 1.0)),
+            started_at=bounded_number(fields.get("startedAtMs") or 0),
         ),
     )
 
 
 def listed_servers(
-    told: list[dict[str, Any]], zones: dict[str, int], kinds: dict[str, int]
+    entries: list[dict[str, Any]], zones: dict[str, int], kinds: dict[str, int]
 ) -> tuple[dict[str, ListedServer], list[str | None]]:
-    """The entries that can be read, by word, the last of each; and the words of those that cannot, None for
-    one without a word. One bad entry must not hide the drains beside it."""
-    if not isinstance(told, list):
-        raise ValueError("no list of entries")
-    read: dict[str, ListedServer] = {}
-    unclear: list[str | None] = []
-    for e in told:
+    """Decode the entries that are valid, by server ID, the last of each; and list the IDs of those that are
+    not, None for an entry without ID. One invalid entry must not hide the drains listed with it."""
+    if not isinstance(entries, list):
+        raise ValueError("not a list of entries")
+    servers: dict[str, ListedServer] = {}
+    invalid_ids: list[str | None] = []
+    for fields in entries:
         try:
-            got = listed_server(e, zones, kinds)
-            read[got.server_id] = got
+            server = listed_server(fields, zones, kinds)
+            servers[server.server_id] = server
         except DECODE_ERRORS:
-            word = e.get("instanceId") if isinstance(e, dict) else None
-            unclear.append(word if isinstance(word, str) else None)
-            read.pop(word, None) if isinstance(word, str) else None
-    return read, unclear
+            server_id = fields.get("instanceId") if isinstance(fields, dict) else None
+            invalid_ids.append(server_id if isinstance(server_id, str) else None)
+            servers.pop(server_id, None) if isinstance(server_id, str) else None
+    return servers, invalid_ids
 
 
-def server_listing(m: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> ServerListing:
-    """A list in discovery's form, all of which must be clear: the start's ``known``."""
-    kind = i.ListKind.WHOLE if m["reset"] else i.ListKind.CHANGES
+def server_listing(data: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> ServerListing:
+    """Decode a list in discovery's format in which every entry must be valid: the initial ``known`` list."""
+    kind = i.ListKind.WHOLE if data["reset"] else i.ListKind.CHANGES
     return ServerListing(
-        non_negative_int(m["generation"]), kind, [listed_server(e, zones, kinds) for e in m["instances"]]
+        non_negative_int(data["generation"]),
+        kind,
+        [listed_server(fields, zones, kinds) for fields in data["instances"]],
     )
 
 
 def stage_update(fields: dict[str, Any], answers_vote: bool = False) -> i.StageUpdate:
-    """The state of the newest build, from the start's news, the bulletin or the answer to a vote."""
+    """The state of the newest build, from the initial stage, a stage update or the response to a vote."""
     return i.StageUpdate(
         outcome=i.Outcome.COMPLETED,
         answers_vote=answers_vote,
@@ -189,36 +203,40 @@
 
 
 def decode_node_config(text: bytes) -> NodeConfig:
+    """Decode a node configuration in JSON. Raises ConfigError."""
     try:
-        m = orjson.loads(text)
-        s = m["settings"]
-        zones = {name: n for n, name in enumerate(s.get("zones", ()))}
-        kinds = {name: n for n, name in enumerate(s.get("kinds", ()))}
-        known = server_listing(m["known"], zones, kinds)
+        data = orjson.loads(text)
+        settings_data = data["settings"]
+        zones = {name: number for number, name in enumerate(settings_data.get("zones", ()))}
+        kinds = {name: number for number, name in enumerate(settings_data.get("kinds", ()))}
+        known = server_listing(data["known"], zones, kinds)
         known.kind = i.ListKind.REMEMBERED
         return NodeConfig(
-            name=m["name"],
-            listen=parse_address(m["listen"]),
-            discovery=parse_address(m["discovery"]),
-            platform=parse_address(m["platform"]["address"]),
-            seed=int(str(m["seed"]), 16),
-            sockets=int(m["limits"]["sockets"]),
-            facts=decode_settings(s),
-            initial_stage=stage_update(m["platform"]["news"]),
+            name=data["name"],
+            listen=parse_address(data["listen"]),
+            discovery=parse_address(data["discovery"]),
+            platform=parse_address(data["platform"]["address"]),
+            seed=int(str(data["seed"]), 16),
+            sockets=int(data["limits"]["sockets"]),
+            facts=decode_settings(settings_data),
+            initial_stage=stage_update(data["platform"]["news"]),
             initial_list=known,
-            routes={lane["name"].encode(): n for n, lane in enumerate(s["lanes"])},
-            tenants={t["name"].encode(): n for n, t in enumerate(s.get("tenants") or ())},
+            routes={lane["name"].encode(): number for number, lane in enumerate(settings_data["lanes"])},
+            tenants={
+                tenant["name"].encode(): number
+                for number, tenant in enumerate(settings_data.get("tenants") or ())
+            },
             zones=zones,
             kinds=kinds,
-            connect_ms=ns_to_ms(s["limits"]["connect_timeout"]),
-            idle_ms=ns_to_ms(s["limits"]["idle_close"]),
+            connect_ms=ns_to_ms(settings_data["limits"]["connect_timeout"]),
+            idle_ms=ns_to_ms(settings_data["limits"]["idle_close"]),
         )
     except DECODE_ERRORS as error:
-        raise ConfigError(f"configuration unclear: {type(error).__name__}: {error}") from None
+        raise ConfigError(f"configuration invalid: {type(error).__name__}: {error}") from None
 
 
 def fields_needing_restart(old: NodeConfig, new: NodeConfig) -> list[str]:
-    """What a new configuration changes and a running front cannot take up."""
+    """Names of changed fields that a running front cannot apply."""
     names = (
         "name",
         "listen",
@@ -235,11 +253,13 @@
 
 
 def read_node_config(path: str | None = None) -> NodeConfig:
-    where = path or os.environ.get("NODE_CONFIG")
-    if not where:
+    """Read the node configuration from a file, by default the one that NODE_CONFIG names. Raises
+    ConfigError."""
+    config_path = path or os.environ.get("NODE_CONFIG")
+    if not config_path:
         raise ConfigError("NODE_CONFIG is not set")
     try:
-        text = Path(where).read_bytes()
+        text = Path(config_path).read_bytes()
     except OSError as error:
         raise ConfigError(f"configuration unreadable: {error}") from None
     return decode_node_config(text)
--- a/myrtleroad/net/operator_limits.py
+++ b/myrtleroad/net/operator_limits.py
@@ -1,5 +1,5 @@
-"""Carries what holds in effect of a version to the module, the list and the door. Loads only where a control
-service is named."""
+"""Applies the limits in force to the module, the server list and the client listener. Loaded only if a
+control service is configured."""
 
 from collections.abc import Callable
 
@@ -18,60 +18,65 @@
 
 
 class OperatorLimits:
-    """The one place that knows all who are bound. ``hold`` makes everything first, so that a fault
-    leaves all as it was, and then tells without a switch."""
+    """The one place that knows every component that limits apply to. ``apply`` computes everything first, so
+    that an exception changes nothing, and then sets it without a greenlet switch."""
 
     def __init__(
         self,
-        told: NodeConfig,
+        node_config: NodeConfig,
         clock: Callable[[], float],
-        brain: Dispatcher,
-        roster: DiscoveryClient,
-        door: ClientListener,
+        dispatcher: Dispatcher,
+        discovery: DiscoveryClient,
+        client_listener: ClientListener,
     ):
         self.node_config, self.clock, self.dispatcher, self.discovery, self.client_listener = (
-            told,
+            node_config,
             clock,
-            brain,
-            roster,
-            door,
+            dispatcher,
+            discovery,
+            client_listener,
         )
-        self.route_names = [n.decode() for n in told.routes]
-        self.tenant_names = [n.decode() for n in told.tenants]
-        self.request_limits, self.log = RequestLimits(), brain.log
+        self.route_names = [name.decode() for name in node_config.routes]
+        self.tenant_names = [name.decode() for name in node_config.tenants]
+        self.request_limits, self.log = RequestLimits(), dispatcher.log
 
-    def config_versions(self, at: Address, counters: Counters, log: Log) -> ConfigVersions:
-        made = ConfigVersions(at, self.node_config, self.clock, counters, log, self.apply, self.trial_cap)
-        self.dispatcher.on_stage_update = made.reapply
-        return made
+    def config_versions(self, address: Address, counters: Counters, log: Log) -> ConfigVersions:
+        """The actor that receives configuration versions from this address."""
+        versions = ConfigVersions(
+            address, self.node_config, self.clock, counters, log, self.apply, self.trial_cap
+        )
+        self.dispatcher.on_stage_update = versions.reapply
+        return versions
 
     def trial_cap(self) -> float | None:
-        news = self.dispatcher.balancer.stage_update
-        return news.cap if news.phase == i.RolloutPhase.ON_TRIAL else None
+        """The latest cap of the build on trial, None without one."""
+        update = self.dispatcher.balancer.stage_update
+        return update.cap if update.phase == i.RolloutPhase.ON_TRIAL else None
 
-    def apply(self, bounds: rules.EffectiveLimits | None) -> None:
+    def apply(self, limits: rules.EffectiveLimits | None) -> None:
+        """Put limits in force; None removes all of them."""
         now = self.clock()
-        held = (
-            bounds if bounds is not None else rules.effective_limits(NO_ENTRIES, self.node_config.limits(1.0))
+        effective = (
+            limits if limits is not None else rules.effective_limits(NO_ENTRIES, self.node_config.limits(1.0))
         )
-        event = narrowed_settings(self.node_config.facts, held, self.route_names, self.tenant_names)
-        if bounds is None:
-            event.max_trial_share = 1.0
-        zones = frozenset(self.node_config.zones[z] for z in held.drained_zones)
-        changed = (held.drained_servers, zones) != self.dispatcher.out_of_service
+        narrowed = narrowed_settings(self.node_config.facts, effective, self.route_names, self.tenant_names)
+        if limits is None:
+            narrowed.max_trial_share = 1.0
+        zones = frozenset(self.node_config.zones[zone] for zone in effective.drained_zones)
+        changed = (effective.drained_servers, zones) != self.dispatcher.out_of_service
         listing = ServerListing(
             self.discovery.server_list.version,
             i.ListKind.CHANGES,
             list(self.discovery.server_list.entries.values()),
         )
         # From here on nothing can fail.
-        self.log.level = held.log_level
-        self.request_limits.update(bounds, now)
-        self.dispatcher.out_of_service = (held.drained_servers, zones)
-        self.dispatcher.post_update(event)
+        self.log.level = effective.log_level
+        self.request_limits.update(limits, now)
+        self.dispatcher.out_of_service = (effective.drained_servers, zones)
+        self.dispatcher.post_update(narrowed)
         if changed:
             self.dispatcher.post_update(listing)
         self.dispatcher.apply_updates()
         self.client_listener.apply_limits(
-            event.settings, held.networks, self.request_limits if bounds is not None else None
+            narrowed.settings, effective.networks, self.request_limits if limits is not None else None
         )
--- a/myrtleroad/net/stream.py
+++ b/myrtleroad/net/stream.py
@@ -1,4 +1,5 @@
-"""Following a peer that tells things on an answer that stays open: a watch on discovery, the bulletin."""
+"""Following a peer that sends events on a response that stays open: a watch on discovery, the stage
+updates."""
 
 import os
 from collections.abc import Callable
@@ -25,16 +26,16 @@
 from myrtleroad.net.node_config import DECODE_ERRORS, Address, AddressChanged, NodeConfig
 from myrtleroad.net.stream_poller import StreamPoller
 
-READ_BYTES = 64 * 1024  # bytes a read: as the shared buffer holds
-MAX_WAIT_S = 1.0  # the longest wait of a follower, whatever is due
-CONNECT_TIMEOUT_S = (
-    1.0  # loopback and a datacentre's network connect in ms; a silent address must not hold for long
-)
-MAX_LINE_BYTES = 1024 * 1024  # a list of some 4,000 machines on one line; noise without line ends stops there
+READ_BYTES = 64 * 1024  # bytes per read, as many as the shared buffer holds
+MAX_WAIT_S = 1.0  # longest wait of a follower, whatever is due
+# loopback and a datacentre's network connect within ms; an address that does not answer must not block for
+# long
+CONNECT_TIMEOUT_S = 1.0
+MAX_LINE_BYTES = 1024 * 1024  # a list of about 4,000 servers on one line; bounds input without line ends
 
 
 class FollowerContext(NamedTuple):
-    """What every follower is given: the clock, whom it tells, and where its streams are looked at."""
+    """What every follower needs: the clock, the receiver of its messages, and the poller of its streams."""
 
     clock: Callable[[], float]
     deliver: Callable[[object], None]
@@ -43,20 +44,25 @@
 
 @dataclass(slots=True)
 class LineReceived:
+    """One line of a stream, without its end."""
+
     stream: "Stream"
     line: bytes
 
 
 @dataclass(slots=True)
 class StreamEnded:
+    """A stream has ended, or could not be opened."""
+
     stream: "Stream"
     reason: str
-    connected: bool = True  # a connection had come up
+    connected: bool = True  # whether a connection was established
 
 
 class Stream:
-    """One connection to one address. Its greenlet reads whole lines and posts them, then its end; whoever
-    must not miss what has come calls ``read_now`` through the lookout, at any moment between two switches."""
+    """One connection to one address. Its greenlet reads whole lines and posts them, then the end of the
+    stream. Code that must not miss received bytes calls ``read_now`` through the poller, at any point between
+    two switches."""
 
     __slots__ = (
         "address",
@@ -77,22 +83,24 @@
         self.number, self.address, self.target = number, follower.address, target
         self.post, self.poller, self.sock = follower.post, follower.poller, None
         self.parser = http1.ResponseParser(stream=True)
-        self.partial_line = b""  # of a line that has not ended
-        self.has_delivered = False  # whether it has told anything yet
+        self.partial_line = b""  # the beginning of a line that is not complete
+        self.has_delivered = False  # whether it has delivered a readable message
         self.requested_at = follower.clock()
-        self.connected = False  # whether its connection has come up
+        self.connected = False  # whether its connection was established
         self.greenlet = gevent.spawn(self.run)
 
     def run(self) -> None:
-        why = self.receive()
-        self.post(StreamEnded(self, why, self.connected))
+        """Read the stream to its end and post the reason."""
+        reason = self.receive()
+        self.post(StreamEnded(self, reason, self.connected))
 
     def receive(self) -> str:
+        """Connect and read until the stream ends; returns the reason of the end."""
         sock = None
         try:
             sock = socket.create_connection(self.address, CONNECT_TIMEOUT_S)
             self.connected = True
-            sock.settimeout(None)  # its silence is judged by the follower
+            sock.settimeout(None)  # the follower decides when silence has lasted too long
             http1.send(sock, http1.request_parts("GET", self.target, http1.host_header(self.address)))
             self.sock = sock
             self.poller.add(sock.fileno(), self)
@@ -111,6 +119,7 @@
                 sock.close()
 
     def feed(self, data: memoryview | bytes) -> None:
+        """Parse received bytes. Raises HttpError if the response is not a stream or cannot be read."""
         self.parser.feed(data)
         if self.parser.response.status not in (0, 200):
             raise http1.HttpError(self.parser.response.status)
@@ -118,8 +127,8 @@
         self.split_lines(b"".join(chunks))
 
     def read_now(self) -> bool:
-        """One read, a second where that was full, and so on up to a line's limit. What cannot be read, and
-        the end, are left to the greenlet: it is told at once."""
+        """Read once, again if the buffer was filled, and so on up to the length of a line. False at the end
+        or after an error, which are left to the stream's greenlet: it is notified at once."""
         if self.sock is None or self.parser.complete:
             return False
         try:
@@ -135,12 +144,12 @@
         except BlockingIOError:
             pass
         except (OSError, http1.HttpError) as error:
-            self.greenlet.kill(error, block=False)  # which ends ``read`` as its own would
+            self.greenlet.kill(error, block=False)  # raises in ``receive`` as an error of its own would
             return False
         return True
 
     def split_lines(self, chunk: bytes) -> None:
-        """Lines may be split anywhere."""
+        """Split a chunk into lines; lines may be split at any byte."""
         *lines, self.partial_line = (self.partial_line + chunk).split(b"\n")
         if len(self.partial_line) > MAX_LINE_BYTES:
             raise http1.HttpError(502)
@@ -148,34 +157,37 @@
             self.post(LineReceived(self, line))
 
     def close(self) -> None:
+        """Stop reading and close the connection."""
         self.greenlet.kill(block=False)
 
 
 class FollowerActor:
-    """An actor that follows one peer's stream as ``membership.StreamFollower`` says: it opens and closes
-    streams, posts their words and the passing of time to it, and passes on what they say."""
+    """An actor that follows one peer's stream as ``membership.stream_follower`` directs: it opens and closes
+    streams, passes received data and elapsed time to it, and delivers the messages."""
 
-    NAME, ENDED_COUNTER = "", ""  # for log and counters
+    NAME, ENDED_COUNTER = "", ""  # for the log and counters
 
     def __init__(
         self,
-        at: Address,
-        manner: FollowerSettings,
-        told: NodeConfig,
+        address: Address,
+        settings: FollowerSettings,
+        node_config: NodeConfig,
         counters: Counters,
         log: Log,
-        post: FollowerContext,
+        context: FollowerContext,
     ):
-        self.address, self.counters, self.log = at, counters, log
-        self.clock, self.deliver, self.poller = post
-        self.stream_follower = StreamFollower(manner, Random(told.seed).random, self.clock())
+        self.address, self.counters, self.log = address, counters, log
+        self.clock, self.deliver, self.poller = context
+        self.stream_follower = StreamFollower(settings, Random(node_config.seed).random, self.clock())
         self.poller.after_poll.append(self.process_mailbox)
         self.mailbox: SimpleQueue = SimpleQueue()
-        self.wake_event = Event()  # set when something was posted or taken: what is due may have changed
-        self.streams: dict[int, Stream] = {}  # by the numbers of following; emptied as each ends
-        self.answered = False  # whether the first stream has told something or failed
+        # set when a message was posted or taken: the next deadline may have changed
+        self.wake_event = Event()
+        self.streams: dict[int, Stream] = {}  # by stream number; entries are removed as streams end
+        self.answered = False  # whether the first stream has delivered a message or failed
 
     def run(self) -> None:
+        """Open the first stream, then process messages and deadlines; does not return."""
         self.execute(self.stream_follower.start(self.clock()))
         while True:
             wait = max(0.0, self.stream_follower.due() - self.clock()) / 1000
@@ -183,102 +195,112 @@
             self.wake_event.clear()
             self.process_mailbox()
             if self.stream_follower.due() <= self.clock():
-                # Guards against taking our own standstill for the other side's: what has come is read first.
+                # Guards against taking this process's own pause for silence of the peer: received data is
+                # read first.
                 self.poller.read_ready()
                 self.execute(self.stream_follower.tick(self.clock()))
 
     def post(self, message: object) -> None:
+        """Queue a message and wake the actor."""
         self.mailbox.put(message)
         self.wake_event.set()
 
     def process_mailbox(self) -> None:
-        """What waits in the mailbox is taken now, in order, by whoever may not go on without it. ``take``
-        never switches, so nobody is found in the middle of it."""
+        """Process the mailbox now, in order, for a caller that needs its messages applied. ``process`` never
+        switches greenlets, so no call is interrupted in the middle."""
         while self.mailbox.qsize():
             self.process(self.mailbox.get(block=False))
-            # Guards against a follower that sleeps on past what this message made due.
+            # Guards against a follower that sleeps past a deadline set by this message.
             self.wake_event.set()
 
     def process(self, message: object) -> None:
+        """Process one message; those of streams already closed are ignored."""
         now = self.clock()
         match message:
-            case AddressChanged(at):
-                if at != self.address:
-                    self.address = at
+            case AddressChanged(address):
+                if address != self.address:
+                    self.address = address
                     self.execute(self.stream_follower.address_changed(now))
-            case LineReceived(stream, text):
+            case LineReceived(stream, line):
                 if self.streams.get(stream.number) is stream:
                     self.execute(self.stream_follower.bytes_received(stream.number, now))
-                    self.read_line(stream, text)
-            case StreamEnded(stream, why, reached):
+                    self.read_line(stream, line)
+            case StreamEnded(stream, reason, connected):
                 if self.streams.pop(stream.number, None) is stream:
-                    self.stream_ended(stream, why, reached)
+                    self.stream_ended(stream, reason, connected)
             case _:
                 self.process_other(message)
 
-    def read_line(self, stream: Stream, text: bytes) -> None:
+    def read_line(self, stream: Stream, line: bytes) -> None:
+        """Process a line; one that cannot be decoded ends its stream."""
         try:
-            self.process_line(stream, text)
+            self.process_line(stream, line)
         except DECODE_ERRORS as error:
             del self.streams[stream.number]
             stream.close()
             self.stream_ended(stream, f"unreadable: {type(error).__name__}: {error}")
 
-    def log_lost(self, stream: Stream, why: str) -> None:
-        """Counts and logs the end of a stream that this side did not want to end."""
+    def log_lost(self, stream: Stream, reason: str) -> None:
+        """Count and log the end of a stream that this side did not close."""
         self.answered = True
         self.counters.add(self.ENDED_COUNTER)
-        after = round(self.clock() - stream.requested_at, 1)
-        what = dict(
+        elapsed_ms = round(self.clock() - stream.requested_at, 1)
+        fields = dict(
             at=http1.host_header(stream.address),
             stream=stream.number,
             told=stream.has_delivered,
-            after_ms=after,
+            after_ms=elapsed_ms,
         )
-        self.log(f"{self.NAME} lost", level="warning", why=why, **what)
+        self.log(f"{self.NAME} lost", level="warning", why=reason, **fields)
 
-    def stream_ended(self, stream: Stream, why: str, reached: bool = True) -> None:
-        self.log_lost(stream, why)
-        self.execute(self.stream_follower.stream_ended(stream.number, self.clock(), why, reached))
+    def stream_ended(self, stream: Stream, reason: str, connected: bool = True) -> None:
+        """Handle the end of a stream that this side did not close."""
+        self.log_lost(stream, reason)
+        self.execute(self.stream_follower.stream_ended(stream.number, self.clock(), reason, connected))
         self.stream_gone(stream)
 
-    def received(self, stream: Stream, **what: object) -> None:
-        """The stream has told something that could be read, and its word holds."""
+    def received(self, stream: Stream, **fields: object) -> None:
+        """Record that the stream has delivered a readable, valid message."""
         if not stream.has_delivered:
             stream.has_delivered = self.answered = True
-            after = round(self.clock() - stream.requested_at, 1)
-            at = http1.host_header(stream.address)
-            self.log(f"{self.NAME} read", at=at, stream=stream.number, after_ms=after, **what)
+            elapsed_ms = round(self.clock() - stream.requested_at, 1)
+            address = http1.host_header(stream.address)
+            self.log(f"{self.NAME} read", at=address, stream=stream.number, after_ms=elapsed_ms, **fields)
         self.execute(self.stream_follower.message_received(stream.number, self.clock()))
 
-    def execute(self, acts: list[FollowerAction]) -> None:
-        for act in acts:
-            match act:
+    def execute(self, actions: list[FollowerAction]) -> None:
+        """Execute the actions of the stream follower."""
+        for action in actions:
+            match action:
                 case OpenStream(number):
                     self.counters.add(f"{self.NAME}_asked")
                     stream = self.streams[number] = self.open_stream(number)
                     self.log(f"{self.NAME} asked", stream=number, target=stream.target)
-                case CloseStream(number, why):
+                case CloseStream(number, reason):
                     if stream := self.streams.pop(number, None):
                         stream.close()
-                        if why == "silent":
-                            self.log_lost(stream, why)
+                        if reason == "silent":
+                            self.log_lost(stream, reason)
                         self.stream_gone(stream)
                 case FreshnessChanged():
-                    self.freshness_changed(act)
+                    self.freshness_changed(action)
 
-    def freshness_changed(self, act: FreshnessChanged) -> None:
-        age = round(self.clock() - act.confirmed_at, 1)
-        self.log(f"{self.NAME} sight", sight=act.freshness.name, age_ms=age, why=act.why)
+    def freshness_changed(self, action: FreshnessChanged) -> None:
+        """Log a change of freshness."""
+        age_ms = round(self.clock() - action.confirmed_at, 1)
+        self.log(f"{self.NAME} sight", sight=action.freshness.name, age_ms=age_ms, why=action.why)
 
     def open_stream(self, number: int) -> Stream:
+        """Open the stream with this number; subclasses choose its target."""
         raise NotImplementedError
 
-    def process_line(self, stream: Stream, text: bytes) -> None:
+    def process_line(self, stream: Stream, line: bytes) -> None:
+        """Process one line of a stream. Raises one of ``DECODE_ERRORS``."""
         raise NotImplementedError
 
     def stream_gone(self, stream: Stream) -> None:
-        """A stream has gone, whoever ended it."""
+        """Called after a stream has ended, whichever side ended it."""
 
     def process_other(self, message: object) -> None:
-        raise TypeError(f"not for a follower: {message!r}")
+        """Process a message that only a subclass knows."""
+        raise TypeError(f"unexpected message for a follower: {message!r}")
--- a/myrtleroad/net/stream_poller.py
+++ b/myrtleroad/net/stream_poller.py
@@ -1,8 +1,9 @@
-"""What the watch and the bulletin hold unread: it is read before a first byte goes to a machine.
+"""Reads what the discovery watch and the stage updates have received before a first byte goes to a server.
 
-A stream's own greenlet reads it too. But the loop wakes greenlets in an order of its own, at most 64 sockets
-at a time, and after the process has been held everything has come at once: without a look the reqs ahead of
-a drain would go to machines that drain."""
+A stream's own greenlet reads it too. But the event loop wakes greenlets in its own order, at most 64 sockets
+at a time, and after the process was suspended everything is readable at once: without this check the requests
+read ahead of a drain would go to servers that drain.
+"""
 
 import select
 from collections.abc import Callable
@@ -10,46 +11,50 @@
 
 
 class ReadableStream(Protocol):
+    """What the poller calls when a descriptor is readable."""
+
     def read_now(self) -> bool:
-        """Take what has come, without waiting; False once nothing more can come."""
+        """Process what was received, without waiting; False if nothing more can be received."""
 
 
 class StreamPoller:
-    """The descriptors of the open streams, asked for together in one system call. A stream leaves it as it
-    closes, or as its end is seen."""
+    """The descriptors of the open streams, polled together in one system call. A stream is removed when it
+    closes or when its end is read."""
 
     __slots__ = ("after_poll", "poll_object", "streams")
 
     def __init__(self) -> None:
         self.poll_object = select.poll()
-        self.streams: dict[int, ReadableStream] = {}  # as many as streams are open: four at most
-        self.after_poll: list[
-            Callable[[], None]
-        ] = []  # the followers' own steps: what they were posted is taken
+        self.streams: dict[int, ReadableStream] = {}  # one entry per open stream: at most four
+        # processes the messages that the followers' streams have posted
+        self.after_poll: list[Callable[[], None]] = []
 
-    def add(self, fd: int, source: ReadableStream) -> None:
-        self.streams[fd] = source
+    def add(self, fd: int, stream: ReadableStream) -> None:
+        """Poll a descriptor for its stream."""
+        self.streams[fd] = stream
         self.poll_object.register(fd, select.POLLIN)
 
-    def remove(self, fd: int, source: ReadableStream) -> None:
-        # Guards against a number that the system has given to another stream meanwhile.
-        if self.streams.get(fd) is source:
+    def remove(self, fd: int, stream: ReadableStream) -> None:
+        """Stop polling a descriptor, if it still belongs to this stream."""
+        # Guards against a descriptor number that the system has reused for another stream.
+        if self.streams.get(fd) is stream:
             del self.streams[fd]
             self.poll_object.unregister(fd)
 
     def readable(self) -> list[int]:
-        """The descriptors on which something waits; all of them where the system cannot say."""
+        """The descriptors that are readable; all of them if the system call fails."""
         try:
             return [fd for fd, _ in self.poll_object.poll(0)]
         except OSError:
             return list(self.streams)
 
     def read_ready(self) -> None:
-        """Costs one system call where nothing has come. Never switches to another greenlet."""
+        """Read all streams that are readable. Costs one system call if there are none; never switches
+        greenlets."""
         if self.streams:
             for fd in self.readable():
-                source = self.streams.get(fd)
-                if source is not None and not source.read_now():
-                    self.remove(fd, source)
-        for step in self.after_poll:
-            step()
+                stream = self.streams.get(fd)
+                if stream is not None and not stream.read_now():
+                    self.remove(fd, stream)
+        for process_messages in self.after_poll:
+            process_messages()
--- a/myrtleroad/net/upstream_server.py
+++ b/myrtleroad/net/upstream_server.py
@@ -1,4 +1,4 @@
-"""The actor of one machine: its connections and the upstream tries on them."""
+"""The actor of one upstream server: its connections and the attempts made on them."""
 
 import errno
 from collections.abc import Callable
@@ -23,82 +23,87 @@
 from myrtleroad.net.listening_socket import try_set_option
 from myrtleroad.net.node_config import Address, NodeConfig
 
-LOCAL_ERRNOS = (
-    frozenset(  # no server is at fault: descriptors, buffers, memory, ports or the network are missing here
-        (
-            errno.EADDRNOTAVAIL,
-            errno.EAGAIN,
-            errno.EINTR,
-            errno.EMFILE,
-            errno.ENETDOWN,
-            errno.ENETUNREACH,
-            errno.ENFILE,
-            errno.ENOBUFS,
-            errno.ENOMEM,
-        )
+# not the server's fault: descriptors, buffers, memory, ports or the network are missing on this host
+LOCAL_ERRNOS = frozenset(
+    (
+        errno.EADDRNOTAVAIL,
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.EMFILE,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
     )
 )
-TRANSIT_MS = 20.0  # less than what is left is told: for the way there, and for what holds us up before it
-IDLE_SWEEP_S = 1.0  # how often idle connections are looked over
-IDLE_MARGIN_MS = 2000.0  # idle connections go this much before the machine closes them: two sweeps
+# subtracted from the remaining time sent to the server: network transit and delays before the write
+TRANSIT_MS = 20.0
+IDLE_SWEEP_S = 1.0  # interval between checks of idle connections
+IDLE_MARGIN_MS = 2000.0  # idle connections are closed this long before the server closes them: two sweeps
 
 
 NOT_SENT = ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.WITHDRAWN)
 DEADLINE_PASSED = ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.OVERDUE)
-RESULT_UNKNOWN = ExchangeFailure(
-    ExchangeProgress.WRITTEN, FailureCause.ENDED, "fault"
-)  # what a try counts as until its result is known
+# the result of an attempt until the real one is known
+RESULT_UNKNOWN = ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED, "fault")
 
 
 @dataclass(slots=True)
 class AttemptJob:
-    """One upstream try, as the module asked for it."""
+    """One attempt, as the decision module requested it."""
 
     request_id: int
     attempt_number: int
     server: int
     message: http1.Message
     decided_at: float  # when the module decided
-    deadline: float  # when we stop waiting
-    preconditions: tuple[float, ...]  # what the list and the news said then
+    deadline: float  # when the attempt times out
+    preconditions: tuple[float, ...]  # build, start and cap that the decision was based on
 
 
 @dataclass(slots=True)
 class AttemptResult:
+    """The result of an attempt; ``duration_ms`` runs from the module's decision."""
+
     job: AttemptJob
     outcome: i.Outcome
     duration_ms: float
     result: UpstreamResponse | ExchangeFailure
-    connected_at: float = float("inf")  # when its connection was made; inf where there was none
+    connected_at: float = float("inf")  # when the connection was established; inf without one
 
 
 @dataclass(slots=True)
 class StartAttempt:
+    """Make this attempt."""
+
     job: AttemptJob
 
 
 @dataclass(slots=True)
 class StopAttempt:
+    """Stop waiting for the result of this attempt."""
+
     request_id: int
     attempt_number: int
 
 
 @dataclass(slots=True)
 class ServerAddressChanged:
-    """The list gives the machine another address, or another start: old connections are of no use."""
+    """The list gives the server another address or another start time: existing connections are of no use."""
 
     address: Address
 
 
 @dataclass(slots=True)
 class ServerRemoved:
-    """The machine has left the list: give back its idle connections and end."""
+    """The server has left the list: close its idle connections and stop."""
 
 
 @dataclass(slots=True)
 class ConnectionBudget:
-    """The descriptors that connections to machines may hold together: each try of a held req needs one,
-    and what is over that share is not kept idle."""
+    """Descriptors that connections to all servers may use together. Each attempt of an open request needs
+    one; connections above the budget are not kept idle."""
 
     limit: int
     in_use: int = 0
@@ -106,50 +111,53 @@
 
 @dataclass(slots=True)
 class ConnectionReleased:
-    """A try has ended; its connection, if it may be used again."""
+    """An attempt has ended; carries its connection if that can be reused."""
 
     job: AttemptJob
     connection: "Connection | None"
 
 
 class Connection:
-    """One connection to a machine. Whoever holds it, the actor or one try, is its only user."""
+    """One connection to a server. It has one user at a time: the actor or one attempt."""
 
     __slots__ = ("budget", "connected_at", "generation", "idle_since", "parser", "sock")
 
-    def __init__(self, sock: socket.socket, start: int, share: ConnectionBudget, connected_at: float):
-        self.sock, self.generation, self.budget, self.connected_at = sock, start, share, connected_at
+    def __init__(self, sock: socket.socket, generation: int, budget: ConnectionBudget, connected_at: float):
+        self.sock, self.generation, self.budget, self.connected_at = sock, generation, budget, connected_at
         self.parser, self.idle_since = http1.ResponseParser(), 0.0
-        share.in_use += 1
+        budget.in_use += 1
 
     def close(self) -> None:
+        """Close the socket and return its descriptor to the budget."""
         self.sock.close()
         self.budget.in_use -= 1
 
 
 class UpstreamServer:
+    """One upstream server; runs until the server is removed and its last attempt has ended."""
+
     def __init__(
         self,
-        at: Address,
-        told: NodeConfig,
+        address: Address,
+        node_config: NodeConfig,
         clock: Clock,
         counters: Counters,
-        share: ConnectionBudget,
+        budget: ConnectionBudget,
         deliver: Callable[[AttemptResult], None],
-        stands: Callable[[AttemptJob], bool],
+        preconditions_hold: Callable[[AttemptJob], bool],
     ):
-        self.address, self.clock, self.counters, self.budget = at, clock, counters, share
-        self.connect_timeout_ms, self.idle_timeout_ms = told.connect_ms, told.idle_ms
-        self.deliver, self.preconditions_hold = deliver, stands
-        self.generation = 0  # counts the addresses and starts that the list has told
+        self.address, self.clock, self.counters, self.budget = address, clock, counters, budget
+        self.connect_timeout_ms, self.idle_timeout_ms = node_config.connect_ms, node_config.idle_ms
+        self.deliver, self.preconditions_hold = deliver, preconditions_hold
+        self.generation = 0  # number of address and start changes in the list so far
         self.mailbox: SimpleQueue = SimpleQueue()
-        self.idle_connections: list[
-            Connection
-        ] = []  # last used last; emptied by age and as the machine closes
-        self.running: dict[tuple[int, int], gevent.Greenlet] = {}  # emptied by each try's end
+        # last used last; closed by age and when the server is removed
+        self.idle_connections: list[Connection] = []
+        self.running: dict[tuple[int, int], gevent.Greenlet] = {}  # entries are removed as attempts end
         self.removed = False
 
     def run(self) -> None:
+        """Process messages, and close stale idle connections between them."""
         while not (self.removed and not self.running):
             try:
                 message = self.mailbox.get(timeout=IDLE_SWEEP_S if self.idle_connections else None)
@@ -159,98 +167,107 @@
             match message:
                 case StartAttempt(job):
                     self.start_attempt(job)
-                case ConnectionReleased(job, link):
+                case ConnectionReleased(job, connection):
                     self.running.pop((job.request_id, job.attempt_number), None)
-                    if link is not None:
-                        self.keep_idle(link)
-                case StopAttempt(ident, try_no):
-                    if running := self.running.get((ident, try_no)):
-                        gevent.sleep(0)  # one that has not begun yet would end without a word
+                    if connection is not None:
+                        self.keep_idle(connection)
+                case StopAttempt(request_id, attempt_number):
+                    if running := self.running.get((request_id, attempt_number)):
+                        # a greenlet that has not started yet would end without reporting a result
+                        gevent.sleep(0)
                         running.kill(block=False)
-                case ServerAddressChanged(at):
-                    self.address, self.generation = at, self.generation + 1
+                case ServerAddressChanged(address):
+                    self.address, self.generation = address, self.generation + 1
                     self.close_idle()
                 case ServerRemoved():
                     self.removed = True
                     self.close_idle()
 
     def start_attempt(self, job: AttemptJob) -> None:
+        """Start an attempt in a greenlet of its own."""
         try:
             self.running[job.request_id, job.attempt_number] = gevent.spawn(
                 self.attempt, job, self.take_idle()
             )
         except Exception:
-            # Guards against a try that nobody has begun and nobody ends; the fault is told as any other.
+            # Guards against an attempt that was never started and never ends; the exception is reported as
+            # any other.
             self.counters.add("tries_moot")
             self.deliver(AttemptResult(job, i.Outcome.MOOT, self.clock() - job.decided_at, NOT_SENT))
             raise
 
     def take_idle(self) -> Connection | None:
-        """The idle connection used last, of those that still stand."""
+        """The most recently used idle connection that is still usable, or None."""
         while self.idle_connections:
-            link = self.idle_connections.pop()
-            if self.is_usable(link):
-                return link
-            link.close()
+            connection = self.idle_connections.pop()
+            if self.is_usable(connection):
+                return connection
+            connection.close()
         return None
 
-    def is_usable(self, link: Connection) -> bool:
-        return self.clock() - link.idle_since < self.idle_timeout_ms - IDLE_MARGIN_MS and not http1.is_stale(
-            link.sock
+    def is_usable(self, connection: Connection) -> bool:
+        """Whether neither age nor the server has ended an idle connection."""
+        return (
+            self.clock() - connection.idle_since < self.idle_timeout_ms - IDLE_MARGIN_MS
+            and not http1.is_stale(connection.sock)
         )
 
-    def keep_idle(self, link: Connection) -> None:
-        if self.removed or link.generation != self.generation or self.budget.in_use > self.budget.limit:
-            link.close()
+    def keep_idle(self, connection: Connection) -> None:
+        """Keep a connection for the next attempt, or close it if it is of no use or above the budget."""
+        if self.removed or connection.generation != self.generation or self.budget.in_use > self.budget.limit:
+            connection.close()
             return
-        link.idle_since = self.clock()
-        self.idle_connections.append(link)
+        connection.idle_since = self.clock()
+        self.idle_connections.append(connection)
 
     def close_stale(self) -> None:
-        old, self.idle_connections = self.idle_connections, []
-        for link in old:
-            if self.is_usable(link):
-                self.idle_connections.append(link)
+        """Close the idle connections that are no longer usable."""
+        candidates, self.idle_connections = self.idle_connections, []
+        for connection in candidates:
+            if self.is_usable(connection):
+                self.idle_connections.append(connection)
             else:
-                link.close()
+                connection.close()
 
     def close_idle(self) -> None:
-        for link in self.idle_connections:
-            link.close()
+        """Close all idle connections."""
+        for connection in self.idle_connections:
+            connection.close()
         self.idle_connections = []
 
-    def attempt(self, job: AttemptJob, link: Connection | None) -> None:
-        """One try, sent exactly once; its one ending goes to the module whatever happens."""
+    def attempt(self, job: AttemptJob, connection: Connection | None) -> None:
+        """Make one attempt, sent exactly once. Its one result is delivered whatever happens."""
         result: UpstreamResponse | ExchangeFailure = RESULT_UNKNOWN
-        kept = None
+        reusable = None
         try:
-            opened = link or self.connect(job)
+            opened = connection or self.connect(job)
             if isinstance(opened, ExchangeFailure):
                 result = opened
             else:
-                link = opened
-                result = self.exchange(job, link)
-                whole = isinstance(result, UpstreamResponse) and result.keep_alive
-                kept = link if whole or result in (NOT_SENT, DEADLINE_PASSED) else None
+                connection = opened
+                result = self.exchange(job, connection)
+                complete = isinstance(result, UpstreamResponse) and result.keep_alive
+                reusable = connection if complete or result in (NOT_SENT, DEADLINE_PASSED) else None
         finally:
-            if link is not None and kept is None:
-                link.close()
-            end = outcome_of_attempt(result)
-            self.counters.add(f"tries_{end.name.lower()}")
-            connected_at = link.connected_at if link is not None else float("inf")
-            self.deliver(AttemptResult(job, end, self.clock() - job.decided_at, result, connected_at))
-            self.mailbox.put(ConnectionReleased(job, kept))
+            if connection is not None and reusable is None:
+                connection.close()
+            outcome = outcome_of_attempt(result)
+            self.counters.add(f"tries_{outcome.name.lower()}")
+            connected_at = connection.connected_at if connection is not None else float("inf")
+            self.deliver(AttemptResult(job, outcome, self.clock() - job.decided_at, result, connected_at))
+            self.mailbox.put(ConnectionReleased(job, reusable))
 
     def connect(self, job: AttemptJob) -> Connection | ExchangeFailure:
-        left, start = job.deadline - self.clock(), self.generation
-        if left < 1:
+        """Open a connection within the time left for the attempt."""
+        remaining_ms, generation = job.deadline - self.clock(), self.generation
+        if remaining_ms < 1:
             return DEADLINE_PASSED
         try:
-            sock = connect(self.address, min(self.connect_timeout_ms, left) / 1000)
+            sock = connect(self.address, min(self.connect_timeout_ms, remaining_ms) / 1000)
         except TimeoutError:
             return (
                 DEADLINE_PASSED
-                if left < self.connect_timeout_ms
+                if remaining_ms < self.connect_timeout_ms
                 else ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.TIMEOUT)
             )
         except OSError as error:
@@ -262,54 +279,56 @@
             return ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.CANCELLED)
         try_set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
         self.counters.add("machine_connections")
-        return Connection(sock, start, self.budget, self.clock())
+        return Connection(sock, generation, self.budget, self.clock())
 
     def write_request(self, job: AttemptJob, sock: socket.socket) -> ExchangeFailure | None:
-        """Writes the request; what kept it from being written, or None.
+        """Write the request. Returns None, or the reason why nothing was written.
 
-        What the module decided on may hold no more by the time that the system takes the first byte: a
-        connection came up slowly, a buffer was full, the process was held. So both the check and the time
-        told are made anew before each try to write."""
+        The module's decision may be out of date by the time the system accepts the first byte: a connection
+        was slow to establish, a buffer was full, the process was suspended. So both the preconditions and the
+        remaining time are evaluated anew before each write that may send the first byte.
+        """
         while True:
-            left = job.deadline - self.clock()
-            if left < 1:
+            remaining_ms = job.deadline - self.clock()
+            if remaining_ms < 1:
                 return DEADLINE_PASSED
-            parts = http1.forwarded_request(job.message, max(1, int(left - TRANSIT_MS)))
+            parts = http1.forwarded_request(job.message, max(1, int(remaining_ms - TRANSIT_MS)))
             if not self.preconditions_hold(job):
                 return NOT_SENT
-            rest = http1.send_nowait(sock, parts)
-            if len(rest) < sum(map(len, parts)):
+            unsent = http1.send_nowait(sock, parts)
+            if len(unsent) < sum(map(len, parts)):
                 break
             gevent.sleep(http1.RETRY_DELAY_S)
-        sock.settimeout(left / 1000)
-        http1.send_all(sock, rest, left / 1000)
+        sock.settimeout(remaining_ms / 1000)
+        http1.send_all(sock, unsent, remaining_ms / 1000)
         return None
 
-    def exchange(self, job: AttemptJob, link: Connection) -> UpstreamResponse | ExchangeFailure:
-        reach, sock = ExchangeProgress.CONNECTED, link.sock
+    def exchange(self, job: AttemptJob, connection: Connection) -> UpstreamResponse | ExchangeFailure:
+        """Write the request and read the whole response."""
+        progress, sock = ExchangeProgress.CONNECTED, connection.sock
         try:
-            if (unsent := self.write_request(job, sock)) is not None:
-                return unsent
-            reach = ExchangeProgress.WRITTEN
-            answers = link.parser
-            answers.reset()
-            while not answers.complete:
-                left = job.deadline - self.clock()
-                if left <= 0:
-                    return ExchangeFailure(reach, FailureCause.TIMEOUT)
-                sock.settimeout(left / 1000)
+            if (not_written := self.write_request(job, sock)) is not None:
+                return not_written
+            progress = ExchangeProgress.WRITTEN
+            parser = connection.parser
+            parser.reset()
+            while not parser.complete:
+                remaining_ms = job.deadline - self.clock()
+                if remaining_ms <= 0:
+                    return ExchangeFailure(progress, FailureCause.TIMEOUT)
+                sock.settimeout(remaining_ms / 1000)
                 data = http1.receive(sock)
                 if not data:
-                    return ExchangeFailure(reach, FailureCause.ENDED)
-                reach = ExchangeProgress.BEGUN
-                answers.feed(data)
-            return answers.response
+                    return ExchangeFailure(progress, FailureCause.ENDED)
+                progress = ExchangeProgress.BEGUN
+                parser.feed(data)
+            return parser.response
         except TimeoutError:
-            return ExchangeFailure(reach, FailureCause.TIMEOUT)
+            return ExchangeFailure(progress, FailureCause.TIMEOUT)
         except http1.HttpError:
-            return ExchangeFailure(reach, FailureCause.UNREADABLE)
+            return ExchangeFailure(progress, FailureCause.UNREADABLE)
         except OSError as error:
-            short = reach < ExchangeProgress.WRITTEN and error.errno in LOCAL_ERRNOS
-            return ExchangeFailure(reach, FailureCause.SHORT if short else FailureCause.ENDED, str(error))
+            short = progress < ExchangeProgress.WRITTEN and error.errno in LOCAL_ERRNOS
+            return ExchangeFailure(progress, FailureCause.SHORT if short else FailureCause.ENDED, str(error))
         except gevent.GreenletExit:
-            return ExchangeFailure(reach, FailureCause.CANCELLED)
+            return ExchangeFailure(progress, FailureCause.CANCELLED)
