--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,7 +6,7 @@
 import pytest
 from conftest import build_node_config, discovery_entry
 from test_client_listener import VALID_REQUEST, connect, read_status, start_listener
-from test_front import AT, balanced, build_brain, ends, sent, taken
+from test_front import AT, all_requests_accounted, build_dispatcher, end_attempt, started_jobs, submit_request
 
 from myrtleroad import interface as i
 from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
@@ -28,9 +28,9 @@
 
 def test_endings_of_tries_are_not_behind_reqs_that_wait(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    b = build_brain(discovery_entry("s-1", AT))
-    answers = taken(b, 1)
-    (job,) = sent(b)
+    b = build_dispatcher(discovery_entry("s-1", AT))
+    answers = submit_request(b, 1)
+    (job,) = started_jobs(b)
     flood(b, 5000)
     runs = gevent.spawn(b.run)
     # What the try's greenlet does as its answer comes, while the actor works its mailbox off.
@@ -69,13 +69,13 @@
 
 def test_answers_after_their_time_are_named_in_the_log_by_id_a_few_a_second():
     lines = []
-    b = build_brain(discovery_entry("s-1", AT))
+    b = build_dispatcher(discovery_entry("s-1", AT))
     start = b.clock()
     b.overdue_warnings = RateLimitedWarnings(
         lambda event, **fields: lines.append((fields["txn"], fields.get("left_out"))), 2
     )
     for n in range(1, 7):
-        taken(b, n, within=900.0)
+        submit_request(b, n, within=900.0)
     b.clock = lambda: start + 1000.0
     b.expire_requests(start + 1000.0)
     assert lines == [("a1", None), ("a2", None)]
@@ -159,8 +159,8 @@
 
 def test_a_hundred_and_fifty_of_1024_machines_gone_in_one_line_lose_no_req():
     entries = [discovery_entry(f"s-{n}", AT) for n in range(1024)]
-    b = build_brain(*entries)
-    answers = [taken(b, n) for n in range(1, 301)]
+    b = build_dispatcher(*entries)
+    answers = [submit_request(b, n) for n in range(1, 301)]
     jobs = handed(b)
     assert len(jobs) == 300
     gone = [e | {"lifecycle": "terminated"} for e in entries[:150]]
@@ -171,14 +171,14 @@
     assert {job.server for job in forbidden} == {job.server for job in jobs if job.server < 150}
     for job in jobs:
         if job in forbidden:
-            ends(b, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
+            end_attempt(b, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
         else:
-            ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+            end_attempt(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
     again = handed(b)
     assert len(again) == len(forbidden) and all(job.server >= 150 for job in again)
     for job in again:
-        ends(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
-    assert all([a.status for a in got] == [200] for got in answers) and balanced(b)
+        end_attempt(b, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+    assert all([a.status for a in got] == [200] for got in answers) and all_requests_accounted(b)
     b.post_update(server_listing(told | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0}))
     b.apply_updates()  # those that had tries out go with the next list
     assert len(b.servers) == 1024 - 150 and not b.ids_in_use
--- a/tests/test_answers_faults.py
+++ b/tests/test_answers_faults.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from test_answers import flood, held_loop
 from test_client_listener import VALID_REQUEST, connect, read_status, start_listener
-from test_front import AT, balanced, build_brain, ends, sent, taken
+from test_front import AT, all_requests_accounted, build_dispatcher, end_attempt, started_jobs, submit_request
 
 from myrtleroad import interface as i
 from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
@@ -17,22 +17,22 @@
 
 
 def test_a_req_that_nothing_ends_is_answered_as_failed_at_its_time():
-    b = build_brain(discovery_entry("s-1", AT))
-    answers, others = taken(b, 1, within=20.0), taken(b, 2, within=900.0)
+    b = build_dispatcher(discovery_entry("s-1", AT))
+    answers, others = submit_request(b, 1, within=20.0), submit_request(b, 2, within=900.0)
     b.expire_requests(b.clock())
     assert not answers
     b.next_expiry_check = 0.0
     b.expire_requests(b.clock() + 20.0 + dispatcher.DEADLINE_SLACK_MS + 1)
     assert [a.status for a in answers] == [502] and not others
-    assert b.counters.counts["reqs_expired"] == 1 and balanced(b)
-    late, _ = sent(b)
-    ends(b, late, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
-    assert len(answers) == 1 and balanced(b)
+    assert b.counters.counts["reqs_expired"] == 1 and all_requests_accounted(b)
+    late, _ = started_jobs(b)
+    end_attempt(b, late, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
+    assert len(answers) == 1 and all_requests_accounted(b)
 
 
 def test_a_mailbox_worked_off_lets_others_have_their_turn(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    b = build_brain(discovery_entry("s-1", AT))
+    b = build_dispatcher(discovery_entry("s-1", AT))
     flood(b, 500)
     runs = gevent.spawn(b.run)
     turns = 0
@@ -45,9 +45,9 @@
 
 @pytest.mark.parametrize("end", [i.Outcome.COMPLETED, i.Outcome.RESET])
 def test_a_fault_at_an_ending_answers_its_req_at_once_and_no_other(monkeypatch, end):
-    b = build_brain(discovery_entry("s-1", AT))
-    answers, others = taken(b, 1), taken(b, 2)
-    job, _ = sent(b)
+    b = build_dispatcher(discovery_entry("s-1", AT))
+    answers, others = submit_request(b, 1), submit_request(b, 2)
+    job, _ = started_jobs(b)
     monkeypatch.setattr(b, "load_report", lambda message: 1 / 0)
     result = (
         UpstreamResponse(200)
@@ -57,11 +57,11 @@
     b.ended_attempts.append(upstream_server.AttemptResult(job, end, 5.0, result))
     b.process_ended_attempts()
     assert [a.status for a in answers] == [502] and not others
-    assert b.counters.counts["faults"] == 1 and balanced(b)
+    assert b.counters.counts["faults"] == 1 and all_requests_accounted(b)
 
 
 def test_a_fault_as_a_req_is_taken_answers_it_at_once(monkeypatch):
-    b = build_brain(discovery_entry("s-1", AT))
+    b = build_dispatcher(discovery_entry("s-1", AT))
     monkeypatch.setattr(b, "record_delay", lambda *args: 1 / 0)
     answers = []
     rq, message = (
@@ -129,7 +129,7 @@
 
 
 def test_a_req_that_waited_in_our_own_mailbox_is_refused_before_the_module_sees_it(monkeypatch):
-    b = build_brain(discovery_entry("s-1", AT))
+    b = build_dispatcher(discovery_entry("s-1", AT))
     answers = []
     rq, message = (
         i.Request(1, 0, 0, None, b.clock() + 30.0, 0.0, False),
@@ -140,7 +140,7 @@
     b.admission.above_target_since = b.clock() - 1000.0
     b.handle(dispatcher.RequestReceived(rq, message, b.clock() - 70.0, answers.append, 20.0))
     assert [a.status for a in answers] == [503] and b.counters.counts["reqs_waited_standing"] == 1
-    assert b.counters.counts["reqs_taken"] == 1 and balanced(b)
+    assert b.counters.counts["reqs_taken"] == 1 and all_requests_accounted(b)
 
 
 def test_an_answer_longer_than_the_buffers_is_written_whole_to_a_slow_reader():
