--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,7 +6,7 @@
 import pytest
 from conftest import build_node_config, discovery_entry
 from test_client_listener import VALID_REQUEST, connect, read_status, start_listener
-from test_front import AT, balanced, build_brain, ends, sent, taken
+from test_front import AT, all_requests_accounted, build_dispatcher, end_attempt, started_jobs, submit_request
 
 from myrtleroad import interface as i
 from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
@@ -30,9 +30,9 @@
 
 def test_attempt_results_do_not_wait_behind_queued_requests(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    dispatcher_actor = build_brain(discovery_entry("s-1", AT))
-    responses = taken(dispatcher_actor, 1)
-    (job,) = sent(dispatcher_actor)
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    responses = submit_request(dispatcher_actor, 1)
+    (job,) = started_jobs(dispatcher_actor)
     enqueue_requests(dispatcher_actor, 5000)
     running = gevent.spawn(dispatcher_actor.run)
     # The attempt's greenlet does this when its response arrives while the dispatcher processes its mailbox.
@@ -79,13 +79,13 @@
 
 def test_overdue_responses_are_logged_by_request_id_a_few_per_second():
     lines = []
-    dispatcher_actor = build_brain(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
     start = dispatcher_actor.clock()
     dispatcher_actor.overdue_warnings = RateLimitedWarnings(
         lambda event, **fields: lines.append((fields["txn"], fields.get("left_out"))), 2
     )
     for number in range(1, 7):
-        taken(dispatcher_actor, number, within=900.0)
+        submit_request(dispatcher_actor, number, within=900.0)
     dispatcher_actor.clock = lambda: start + 1000.0
     dispatcher_actor.expire_requests(start + 1000.0)
     assert lines == [("a1", None), ("a2", None)]
@@ -182,8 +182,8 @@
 
 def test_no_request_is_lost_when_150_of_1024_servers_terminate_in_one_list_update():
     entries = [discovery_entry(f"s-{number}", AT) for number in range(1024)]
-    dispatcher_actor = build_brain(*entries)
-    responses = [taken(dispatcher_actor, number) for number in range(1, 301)]
+    dispatcher_actor = build_dispatcher(*entries)
+    responses = [submit_request(dispatcher_actor, number) for number in range(1, 301)]
     jobs = dispatched_jobs(dispatcher_actor)
     assert len(jobs) == 300
     terminated = [entry | {"lifecycle": "terminated"} for entry in entries[:150]]
@@ -194,14 +194,16 @@
     assert {job.server for job in stale_jobs} == {job.server for job in jobs if job.server < 150}
     for job in jobs:
         if job in stale_jobs:
-            ends(dispatcher_actor, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
+            end_attempt(dispatcher_actor, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
         else:
-            ends(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+            end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
     retried_jobs = dispatched_jobs(dispatcher_actor)
     assert len(retried_jobs) == len(stale_jobs) and all(job.server >= 150 for job in retried_jobs)
     for job in retried_jobs:
-        ends(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
-    assert all([final.status for final in each] == [200] for each in responses) and balanced(dispatcher_actor)
+        end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+    assert all([final.status for final in each] == [200] for each in responses) and all_requests_accounted(
+        dispatcher_actor
+    )
     dispatcher_actor.post_update(
         server_listing(update | {"generation": 9, "instances": []}, {"here": 0}, {"small": 0})
     )
