--- a/myrtleroad/admission/__init__.py
+++ b/myrtleroad/admission/__init__.py
@@ -1,4 +1,4 @@
-"""One final answer in time for every req: the account of each, and who is refused at the door.
+"""Admission control and request accounting, so that each request gets one final response by its deadline.
 
 No I/O and no clock: times are arguments in ms. See ``docs/design/answers.md``.
 """
--- a/myrtleroad/net/stream.py
+++ b/myrtleroad/net/stream.py
@@ -1,4 +1,5 @@
-"""Following a peer that tells things on an answer that stays open: a watch on discovery, the bulletin."""
+"""Following a peer that sends events on a response that stays open: a watch on discovery, the stage
+updates."""
 
 import os
 from collections.abc import Callable
@@ -25,78 +26,85 @@
 from myrtleroad.net.node_config import DECODE_ERRORS, Address, AddressChanged, NodeConfig
 from myrtleroad.net.stream_poller import StreamPoller
 
-READ_BYTES = 64 * 1024  # bytes a read: as the shared buffer holds
-MAX_WAIT_S = 1.0  # the longest wait of a follower, whatever is due
-CONNECT_TIMEOUT_S = (
-    1.0  # loopback and a datacentre's network connect in ms; a silent address must not hold for long
-)
-MAX_LINE_BYTES = 1024 * 1024  # a list of some 4,000 machines on one line; noise without line ends stops there
+READ_BYTES = 64 * 1024  # bytes per read, as many as the shared buffer holds
+MAX_WAIT_S = 1.0  # longest wait of a follower, whatever is due
+# loopback and a datacentre's network connect within ms; an address that does not answer must not block for
+# long
+CONNECT_TIMEOUT_S = 1.0
+MAX_LINE_BYTES = 1024 * 1024  # a list of about 4,000 servers on one line; bounds input without line ends
 
 
 class FollowerContext(NamedTuple):
-    """What every follower is given: the clock, whom it tells, and where its streams are looked at."""
+    """What every follower needs: the clock, the receiver of its messages, and the poller of its streams."""
 
     clock: Callable[[], float]
     deliver: Callable[[object], None]
-    lookout: StreamPoller
+    poller: StreamPoller
 
 
 @dataclass(slots=True)
 class LineReceived:
+    """One line of a stream, without its end."""
+
     stream: "Stream"
-    text: bytes
+    line: bytes
 
 
 @dataclass(slots=True)
 class StreamEnded:
+    """A stream has ended, or could not be opened."""
+
     stream: "Stream"
-    why: str
-    reached: bool = True  # a connection had come up
+    reason: str
+    connected: bool = True  # whether a connection was established
 
 
 class Stream:
-    """One connection to one address. Its greenlet reads whole lines and posts them, then its end; whoever
-    must not miss what has come calls ``read_now`` through the lookout, at any moment between two switches."""
+    """One connection to one address. Its greenlet reads whole lines and posts them, then the end of the
+    stream. Code that must not miss received bytes calls ``read_now`` through the poller, at any point between
+    two switches."""
 
     __slots__ = (
-        "answers",
-        "asked_at",
-        "at",
+        "address",
+        "connected",
         "greenlet",
-        "lookout",
+        "has_delivered",
         "number",
+        "parser",
+        "partial_line",
+        "poller",
         "post",
-        "reached",
-        "rest",
+        "requested_at",
         "sock",
         "target",
-        "told",
     )
 
     def __init__(self, number: int, target: str, follower: "FollowerActor"):
-        self.number, self.at, self.target = number, follower.at, target
-        self.post, self.lookout, self.sock = follower.post, follower.lookout, None
-        self.answers = http1.ResponseParser(stream=True)
-        self.rest = b""  # of a line that has not ended
-        self.told = False  # whether it has told anything yet
-        self.asked_at = follower.clock()
-        self.reached = False  # whether its connection has come up
+        self.number, self.address, self.target = number, follower.address, target
+        self.post, self.poller, self.sock = follower.post, follower.poller, None
+        self.parser = http1.ResponseParser(stream=True)
+        self.partial_line = b""  # the beginning of a line that is not complete
+        self.has_delivered = False  # whether it has delivered a readable message
+        self.requested_at = follower.clock()
+        self.connected = False  # whether its connection was established
         self.greenlet = gevent.spawn(self.run)
 
     def run(self) -> None:
-        why = self.read()
-        self.post(StreamEnded(self, why, self.reached))
+        """Read the stream to its end and post the reason."""
+        reason = self.receive()
+        self.post(StreamEnded(self, reason, self.connected))
 
-    def read(self) -> str:
+    def receive(self) -> str:
+        """Connect and read until the stream ends; returns the reason of the end."""
         sock = None
         try:
-            sock = socket.create_connection(self.at, CONNECT_TIMEOUT_S)
-            self.reached = True
-            sock.settimeout(None)  # its silence is judged by the follower
-            http1.send(sock, http1.request_parts("GET", self.target, http1.host_header(self.at)))
+            sock = socket.create_connection(self.address, CONNECT_TIMEOUT_S)
+            self.connected = True
+            sock.settimeout(None)  # the follower decides when silence has lasted too long
+            http1.send(sock, http1.request_parts("GET", self.target, http1.host_header(self.address)))
             self.sock = sock
-            self.lookout.add(sock.fileno(), self)
-            while not self.answers.complete:
+            self.poller.add(sock.fileno(), self)
+            while not self.parser.complete:
                 data = http1.receive(sock)
                 if not data:
                     return "ended"
@@ -106,21 +114,22 @@
             return f"{type(error).__name__}: {error}"
         finally:
             if sock is not None:
-                self.lookout.drop(sock.fileno(), self)
+                self.poller.remove(sock.fileno(), self)
                 self.sock = None
                 sock.close()
 
     def feed(self, data: memoryview | bytes) -> None:
-        self.answers.feed(data)
-        if self.answers.answer.status not in (0, 200):
-            raise http1.HttpError(self.answers.answer.status)
-        chunks, self.answers.answer.body = self.answers.answer.body, []
-        self.take(b"".join(chunks))
+        """Parse received bytes. Raises HttpError if the response is not a stream or cannot be read."""
+        self.parser.feed(data)
+        if self.parser.response.status not in (0, 200):
+            raise http1.HttpError(self.parser.response.status)
+        chunks, self.parser.response.body = self.parser.response.body, []
+        self.split_lines(b"".join(chunks))
 
     def read_now(self) -> bool:
-        """One read, a second where that was full, and so on up to a line's limit. What cannot be read, and
-        the end, are left to the greenlet: it is told at once."""
-        if self.sock is None or self.answers.complete:
+        """Read once, again if the buffer was filled, and so on up to the length of a line. False at the end
+        or after an error, which are left to the stream's greenlet: it is notified at once."""
+        if self.sock is None or self.parser.complete:
             return False
         try:
             for _ in range(MAX_LINE_BYTES // READ_BYTES + 1):
@@ -128,152 +137,170 @@
                 if not data:
                     return False
                 self.feed(data)
-                if self.answers.complete:
+                if self.parser.complete:
                     raise ConnectionError("ended")
                 if len(data) < READ_BYTES:
                     break
         except BlockingIOError:
             pass
         except (OSError, http1.HttpError) as error:
-            self.greenlet.kill(error, block=False)  # which ends ``read`` as its own would
+            self.greenlet.kill(error, block=False)  # raises in ``receive`` as an error of its own would
             return False
         return True
 
-    def take(self, chunk: bytes) -> None:
-        """Lines may be split anywhere."""
-        *lines, self.rest = (self.rest + chunk).split(b"\n")
-        if len(self.rest) > MAX_LINE_BYTES:
+    def split_lines(self, chunk: bytes) -> None:
+        """Split a chunk into lines; lines may be split at any byte."""
+        *lines, self.partial_line = (self.partial_line + chunk).split(b"\n")
+        if len(self.partial_line) > MAX_LINE_BYTES:
             raise http1.HttpError(502)
         for line in lines:
             self.post(LineReceived(self, line))
 
     def close(self) -> None:
+        """Stop reading and close the connection."""
         self.greenlet.kill(block=False)
 
 
 class FollowerActor:
-    """An actor that follows one peer's stream as ``membership.StreamFollower`` says: it opens and closes
-    streams, posts their words and the passing of time to it, and passes on what they say."""
+    """An actor that follows one peer's stream as ``membership.stream_follower`` directs: it opens and closes
+    streams, passes received data and elapsed time to it, and delivers the messages."""
 
-    NAME, ENDED = "", ""  # for log and counters
+    NAME, ENDED_COUNTER = "", ""  # for the log and counters
 
     def __init__(
         self,
-        at: Address,
-        manner: FollowerSettings,
-        told: NodeConfig,
+        address: Address,
+        settings: FollowerSettings,
+        node_config: NodeConfig,
         counters: Counters,
         log: Log,
-        post: FollowerContext,
+        context: FollowerContext,
     ):
-        self.at, self.counters, self.log = at, counters, log
-        self.clock, self.deliver, self.lookout = post
-        self.following = StreamFollower(manner, Random(told.seed).random, self.clock())
-        self.lookout.settle.append(self.settle)
+        self.address, self.counters, self.log = address, counters, log
+        self.clock, self.deliver, self.poller = context
+        self.stream_follower = StreamFollower(settings, Random(node_config.seed).random, self.clock())
+        self.poller.after_poll.append(self.process_mailbox)
         self.mailbox: SimpleQueue = SimpleQueue()
-        self.wake = Event()  # set when something was posted or taken: what is due may have changed
-        self.streams: dict[int, Stream] = {}  # by the numbers of following; emptied as each ends
-        self.answered = False  # whether the first stream has told something or failed
+        # set when a message was posted or taken: the next deadline may have changed
+        self.wake_event = Event()
+        self.streams: dict[int, Stream] = {}  # by stream number; entries are removed as streams end
+        self.answered = False  # whether the first stream has delivered a message or failed
 
     def run(self) -> None:
-        self.carry(self.following.start(self.clock()))
+        """Open the first stream, then process messages and deadlines; does not return."""
+        self.execute(self.stream_follower.start(self.clock()))
         while True:
-            wait = max(0.0, self.following.due() - self.clock()) / 1000
-            self.wake.wait(min(wait, MAX_WAIT_S))
-            self.wake.clear()
-            self.settle()
-            if self.following.due() <= self.clock():
-                # Guards against taking our own standstill for the other side's: what has come is read first.
-                self.lookout.look()
-                self.carry(self.following.tick(self.clock()))
+            wait = max(0.0, self.stream_follower.due() - self.clock()) / 1000
+            self.wake_event.wait(min(wait, MAX_WAIT_S))
+            self.wake_event.clear()
+            self.process_mailbox()
+            if self.stream_follower.due() <= self.clock():
+                # Guards against taking this process's own pause for silence of the peer: received data is
+                # read first.
+                self.poller.read_ready()
+                self.execute(self.stream_follower.tick(self.clock()))
 
     def post(self, message: object) -> None:
+        """Queue a message and wake the actor."""
         self.mailbox.put(message)
-        self.wake.set()
+        self.wake_event.set()
 
-    def settle(self) -> None:
-        """What waits in the mailbox is taken now, in order, by whoever may not go on without it. ``take``
-        never switches, so nobody is found in the middle of it."""
+    def process_mailbox(self) -> None:
+        """Process the mailbox now, in order, for a caller that needs its messages applied. ``process`` never
+        switches greenlets, so no call is interrupted in the middle."""
         while self.mailbox.qsize():
-            self.take(self.mailbox.get(block=False))
-            # Guards against a follower that sleeps on past what this message made due.
-            self.wake.set()
+            self.process(self.mailbox.get(block=False))
+            # Guards against a follower that sleeps past a deadline set by this message.
+            self.wake_event.set()
 
-    def take(self, message: object) -> None:
+    def process(self, message: object) -> None:
+        """Process one message; those of streams already closed are ignored."""
         now = self.clock()
         match message:
-            case AddressChanged(at):
-                if at != self.at:
-                    self.at = at
-                    self.carry(self.following.address_changed(now))
-            case LineReceived(stream, text):
+            case AddressChanged(address):
+                if address != self.address:
+                    self.address = address
+                    self.execute(self.stream_follower.address_changed(now))
+            case LineReceived(stream, line):
                 if self.streams.get(stream.number) is stream:
-                    self.carry(self.following.bytes_received(stream.number, now))
-                    self.read(stream, text)
-            case StreamEnded(stream, why, reached):
+                    self.execute(self.stream_follower.bytes_received(stream.number, now))
+                    self.read_line(stream, line)
+            case StreamEnded(stream, reason, connected):
                 if self.streams.pop(stream.number, None) is stream:
-                    self.over(stream, why, reached)
+                    self.stream_ended(stream, reason, connected)
             case _:
-                self.other(message)
+                self.process_other(message)
 
-    def read(self, stream: Stream, text: bytes) -> None:
+    def read_line(self, stream: Stream, line: bytes) -> None:
+        """Process a line; one that cannot be decoded ends its stream."""
         try:
-            self.line(stream, text)
+            self.process_line(stream, line)
         except DECODE_ERRORS as error:
             del self.streams[stream.number]
             stream.close()
-            self.over(stream, f"unreadable: {type(error).__name__}: {error}")
+            self.stream_ended(stream, f"unreadable: {type(error).__name__}: {error}")
 
-    def lost(self, stream: Stream, why: str) -> None:
-        """Counts and logs the end of a stream that this side did not want to end."""
+    def log_lost(self, stream: Stream, reason: str) -> None:
+        """Count and log the end of a stream that this side did not close."""
         self.answered = True
-        self.counters.add(self.ENDED)
-        after = round(self.clock() - stream.asked_at, 1)
-        what = dict(at=http1.host_header(stream.at), stream=stream.number, told=stream.told, after_ms=after)
-        self.log(f"{self.NAME} lost", level="warning", why=why, **what)
-
-    def over(self, stream: Stream, why: str, reached: bool = True) -> None:
-        self.lost(stream, why)
-        self.carry(self.following.stream_ended(stream.number, self.clock(), why, reached))
-        self.parted(stream)
-
-    def told(self, stream: Stream, **what: object) -> None:
-        """The stream has told something that could be read, and its word holds."""
-        if not stream.told:
-            stream.told = self.answered = True
-            after = round(self.clock() - stream.asked_at, 1)
-            at = http1.host_header(stream.at)
-            self.log(f"{self.NAME} read", at=at, stream=stream.number, after_ms=after, **what)
-        self.carry(self.following.message_received(stream.number, self.clock()))
-
-    def carry(self, acts: list[FollowerAction]) -> None:
-        for act in acts:
-            match act:
+        self.counters.add(self.ENDED_COUNTER)
+        elapsed_ms = round(self.clock() - stream.requested_at, 1)
+        fields = dict(
+            at=http1.host_header(stream.address),
+            stream=stream.number,
+            told=stream.has_delivered,
+            after_ms=elapsed_ms,
+        )
+        self.log(f"{self.NAME} lost", level="warning", why=reason, **fields)
+
+    def stream_ended(self, stream: Stream, reason: str, connected: bool = True) -> None:
+        """Handle the end of a stream that this side did not close."""
+        self.log_lost(stream, reason)
+        self.execute(self.stream_follower.stream_ended(stream.number, self.clock(), reason, connected))
+        self.stream_gone(stream)
+
+    def received(self, stream: Stream, **fields: object) -> None:
+        """Record that the stream has delivered a readable, valid message."""
+        if not stream.has_delivered:
+            stream.has_delivered = self.answered = True
+            elapsed_ms = round(self.clock() - stream.requested_at, 1)
+            address = http1.host_header(stream.address)
+            self.log(f"{self.NAME} read", at=address, stream=stream.number, after_ms=elapsed_ms, **fields)
+        self.execute(self.stream_follower.message_received(stream.number, self.clock()))
+
+    def execute(self, actions: list[FollowerAction]) -> None:
+        """Execute the actions of the stream follower."""
+        for action in actions:
+            match action:
                 case OpenStream(number):
                     self.counters.add(f"{self.NAME}_asked")
-                    stream = self.streams[number] = self.open(number)
+                    stream = self.streams[number] = self.open_stream(number)
                     self.log(f"{self.NAME} asked", stream=number, target=stream.target)
-                case CloseStream(number, why):
+                case CloseStream(number, reason):
                     if stream := self.streams.pop(number, None):
                         stream.close()
-                        if why == "silent":
-                            self.lost(stream, why)
-                        self.parted(stream)
+                        if reason == "silent":
+                            self.log_lost(stream, reason)
+                        self.stream_gone(stream)
                 case FreshnessChanged():
-                    self.seen(act)
+                    self.freshness_changed(action)
 
-    def seen(self, act: FreshnessChanged) -> None:
-        age = round(self.clock() - act.confirmed_at, 1)
-        self.log(f"{self.NAME} sight", sight=act.freshness.name, age_ms=age, why=act.why)
+    def freshness_changed(self, action: FreshnessChanged) -> None:
+        """Log a change of freshness."""
+        age_ms = round(self.clock() - action.confirmed_at, 1)
+        self.log(f"{self.NAME} sight", sight=action.freshness.name, age_ms=age_ms, why=action.why)
 
-    def open(self, number: int) -> Stream:
+    def open_stream(self, number: int) -> Stream:
+        """Open the stream with this number; subclasses choose its target."""
         raise NotImplementedError
 
-    def line(self, stream: Stream, text: bytes) -> None:
+    def process_line(self, stream: Stream, line: bytes) -> None:
+        """Process one line of a stream. Raises one of ``DECODE_ERRORS``."""
         raise NotImplementedError
 
-    def parted(self, stream: Stream) -> None:
-        """A stream has gone, whoever ended it."""
+    def stream_gone(self, stream: Stream) -> None:
+        """Called after a stream has ended, whichever side ended it."""
 
-    def other(self, message: object) -> None:
-        raise TypeError(f"not for a follower: {message!r}")
+    def process_other(self, message: object) -> None:
+        """Process a message that only a subclass knows."""
+        raise TypeError(f"unexpected message for a follower: {message!r}")
