--- a/myrtleroad/drill/__init__.py
+++ b/myrtleroad/drill/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter that puts the decision module on the simulator's wire."""
+"""Adapter between the decision module and the simulator's line protocol."""
--- a/myrtleroad/drill/codec.py
+++ b/myrtleroad/drill/codec.py
@@ -1,4 +1,6 @@
-"""The simulator's wire, turned into the interface's words and back. Nothing is decided here."""
+"""Translates between the simulator's messages and the types of the decision module's interface.
+
+The simulator states times in nanoseconds; the interface uses milliseconds. No decisions are made here."""
 
 import json
 from typing import Any
@@ -6,138 +8,164 @@
 from myrtleroad import interface as i
 from myrtleroad.settings import LOAD_COLUMN, NS_PER_MS, ns_to_ms
 
-STATUSES = {
+SERVER_STATUSES = {
     "in_service": i.ServerStatus.IN_SERVICE,
     "terminating": i.ServerStatus.DRAINING,
     "terminated": i.ServerStatus.GONE,
 }
-LISTS = {
+LIST_KINDS = {
     "Partial": i.ListKind.CHANGES,
     "Complete": i.ListKind.WHOLE,
     "Persisted": i.ListKind.REMEMBERED,
 }
-FAILED = "Error"  # a list that could not be had
+LIST_UNAVAILABLE = "Error"  # kind of a DISCOVERY event that carries no list: the call for it failed
 
 
-class WireFault(Exception):
-    """The simulator sent something that the wire's page does not know."""
+class ProtocolError(Exception):
+    """The simulator sent something that its protocol does not define."""
 
 
-def ns(value: float) -> int:
-    return int(value * NS_PER_MS)
+def ms_to_ns(duration_ms: float) -> int:
+    """Converts milliseconds to whole nanoseconds, rounded towards zero."""
+    return int(duration_ms * NS_PER_MS)
 
 
-def parse(line: str) -> dict[str, Any]:
+def parse_message(line: str) -> dict[str, Any]:
+    """Decodes one line of input. Raises ``ProtocolError`` unless it is a JSON object with a ``cmd``."""
     try:
         message = json.loads(line)
     except ValueError:
-        raise WireFault(f"not JSON: {line[:80]!r}") from None
+        raise ProtocolError(f"not JSON: {line[:80]!r}") from None
     if not isinstance(message, dict) or "cmd" not in message:
-        raise WireFault(f"not a message: {line[:80]!r}")
+        raise ProtocolError(f"not a message: {line[:80]!r}")
     return message
 
 
-def dump(message: dict[str, Any]) -> str:
+def encode_message(message: dict[str, Any]) -> str:
+    """Encodes a message as compact JSON, without the line feed."""
     return json.dumps(message, separators=(",", ":"))
 
 
-def row(e: dict[str, Any], machine: int) -> i.ServerEntry:
+def decode_server_entry(entry: dict[str, Any], server: int) -> i.ServerEntry:
+    """Decodes one entry of a server list. ``server`` is the index that the front assigned to it."""
     return i.ServerEntry(
-        server=machine,
-        status=STATUSES[e.get("status", "in_service")],
-        build=int(e.get("release", 0)),
-        zone=e.get("area", 0),
-        cell=e.get("stripe", 0),
-        server_type=e.get("hw", 0),
-        weight=float(e.get("nominal", 1.0)),
-        started_at=ns_to_ms(e.get("boot_time")),
+        server=server,
+        status=SERVER_STATUSES[entry.get("status", "in_service")],
+        build=int(entry.get("release", 0)),
+        zone=entry.get("area", 0),
+        cell=entry.get("stripe", 0),
+        server_type=entry.get("hw", 0),
+        weight=float(entry.get("nominal", 1.0)),
+        started_at=ns_to_ms(entry.get("boot_time")),
     )
 
 
-def load(m: dict[str, Any]) -> float | None:
-    return (m.get("usage") or {}).get(LOAD_COLUMN)
+def decode_reported_load(event: dict[str, Any]) -> float | None:
+    """The number of requests that the server reported to hold, None if the event carries no such report."""
+    return (event.get("usage") or {}).get(LOAD_COLUMN)
 
 
-def req(m: dict[str, Any], now: float) -> i.Request:
+def decode_request(event: dict[str, Any], now: float) -> i.Request:
+    """Decodes a client's request. Its deadline is sent as the time that remains from ``now`` (ms)."""
     return i.Request(
-        id=m["job"],
-        route=m.get("service", 0),
-        tenant=m.get("client_group"),
-        dedup_key=m.get("affinity"),
-        deadline=now + ns_to_ms(m.get("grace")),
-        cost_hint_ms=ns_to_ms(m.get("hint")),
-        is_repeat=bool(m.get("resent")),
+        id=event["job"],
+        route=event.get("service", 0),
+        tenant=event.get("client_group"),
+        dedup_key=event.get("affinity"),
+        deadline=now + ns_to_ms(event.get("grace")),
+        cost_hint_ms=ns_to_ms(event.get("hint")),
+        is_repeat=bool(event.get("resent")),
     )
 
 
-def ended(m: dict[str, Any], machine: int) -> i.AttemptEnded:
-    how, took = i.Outcome(m["how"]), ns_to_ms(m.get("cost_time"))
-    return i.AttemptEnded(machine, m.get("seq_no", 0), how, took, load(m), bool(m.get("finished")))
+def decode_attempt_ended(event: dict[str, Any], server: int) -> i.AttemptEnded:
+    """Decodes the end of an attempt at ``server``."""
+    outcome, duration_ms = i.Outcome(event["how"]), ns_to_ms(event.get("cost_time"))
+    return i.AttemptEnded(
+        server,
+        event.get("seq_no", 0),
+        outcome,
+        duration_ms,
+        decode_reported_load(event),
+        bool(event.get("finished")),
+    )
 
 
-def stage_news(m: dict[str, Any]) -> i.StageUpdate:
+def decode_stage_update(event: dict[str, Any]) -> i.StageUpdate:
+    """Decodes a stage update of the platform."""
     return i.StageUpdate(
-        outcome=i.Outcome(m["how"]),
-        answers_vote=m.get("reason", 0) == 1,
-        build=m.get("build_no", 0),
-        stage=m.get("wave", 0),
-        phase=i.RolloutPhase(m.get("where_at", 0)),
-        cap=float(m.get("ceiling", 0.0)),
-        stage_age_ms=ns_to_ms(m.get("old")),
+        outcome=i.Outcome(event["how"]),
+        answers_vote=event.get("reason", 0) == 1,
+        build=event.get("build_no", 0),
+        stage=event.get("wave", 0),
+        phase=i.RolloutPhase(event.get("where_at", 0)),
+        cap=float(event.get("ceiling", 0.0)),
+        stage_age_ms=ns_to_ms(event.get("old")),
     )
 
 
-def tally(m: dict[str, Any]) -> i.AttemptCounts:
+def decode_attempt_counts(event: dict[str, Any]) -> i.AttemptCounts:
+    """Decodes the platform's attempt counts for one build and route."""
     return i.AttemptCounts(
-        m.get("build_no", 0),
-        m.get("service", 0),
-        m.get("n", 0),
-        m.get("errors", 0),
-        ns_to_ms(m.get("cost_time")),
-        ns_to_ms(m.get("old")),
+        event.get("build_no", 0),
+        event.get("service", 0),
+        event.get("n", 0),
+        event.get("errors", 0),
+        ns_to_ms(event.get("cost_time")),
+        ns_to_ms(event.get("old")),
     )
 
 
-def flagged(m: dict[str, Any], machine: int) -> i.BadResponseReported:
-    return i.BadResponseReported(machine, m.get("service", 0), ns_to_ms(m.get("old")))
+def decode_bad_response(event: dict[str, Any], server: int) -> i.BadResponseReported:
+    """Decodes the report of a bad response from ``server``."""
+    return i.BadResponseReported(server, event.get("service", 0), ns_to_ms(event.get("old")))
 
 
-def probed(m: dict[str, Any], machine: int) -> i.ProbeEnded:
-    return i.ProbeEnded(machine, i.Outcome(m["how"]), ns_to_ms(m.get("cost_time")), load(m))
+def decode_probe_ended(event: dict[str, Any], server: int) -> i.ProbeEnded:
+    """Decodes the end of a probe of ``server``."""
+    return i.ProbeEnded(
+        server, i.Outcome(event["how"]), ns_to_ms(event.get("cost_time")), decode_reported_load(event)
+    )
+
 
+def failure_message(front_id: int, event: str, error: BaseException) -> dict[str, Any]:
+    """The message that reports an exception raised by the decision module while it processed ``event``."""
+    text = f"instance {front_id}, event {event}: {type(error).__name__}: {error}"
+    return {"cmd": "GIVE_IN", "front_id": front_id, "note_text": text[:400]}
 
-def fault(instance: int, event: str, error: BaseException) -> dict[str, Any]:
-    text = f"instance {instance}, event {event}: {type(error).__name__}: {error}"
-    return {"cmd": "GIVE_IN", "front_id": instance, "note_text": text[:400]}
 
+def encode_action(
+    action: i.Action, server_id: str | None, request_id: int | None, cookie: int = 0
+) -> dict[str, Any]:
+    """Encodes one action. The host adds the ``front_id`` of the front that it belongs to.
 
-def action(act: i.Action, machine: str | None, job: int | None, cookie: int = 0) -> dict[str, Any]:
-    """One action as the wire's object; the host fills in whose it is."""
-    match act:
+    ``server_id`` is the simulator's name of the server of an action that has one, and ``cookie`` comes back
+    in the event of the timer that the action sets. Raises ``TypeError`` on an unknown action."""
+    match action:
         case i.SendAttempt():
-            within = max(1, ns(act.timeout_ms))
-            return {"cmd": "ATTEMPT", "job": job, "within": within, "machine": machine}
+            within = max(1, ms_to_ns(action.timeout_ms))
+            return {"cmd": "ATTEMPT", "job": request_id, "within": within, "machine": server_id}
         case i.CancelAttempt():
-            return {"cmd": "WITHDRAW", "job": job, "seq_no": act.attempt_number}
+            return {"cmd": "WITHDRAW", "job": request_id, "seq_no": action.attempt_number}
         case i.Shed():
-            return {"cmd": "BOUNCE", "job": job, "pause": ns(act.retry_after_ms)}
+            return {"cmd": "BOUNCE", "job": request_id, "pause": ms_to_ns(action.retry_after_ms)}
         case i.Fail():
-            return {"cmd": "ERROR", "job": job}
+            return {"cmd": "ERROR", "job": request_id}
         case i.Vote():
-            opinion = {"build_no": act.build, "reason": int(act.verdict), "wave": act.stage}
-            return {"cmd": "OPINION", **opinion}
+            vote = {"build_no": action.build, "reason": int(action.verdict), "wave": action.stage}
+            return {"cmd": "OPINION", **vote}
         case i.WatchServerList():
-            return {"cmd": "SUBSCRIBE", "on": act.enabled}
+            return {"cmd": "SUBSCRIBE", "on": action.enabled}
         case i.FetchServerList():
             return {"cmd": "FETCH"}
         case i.ProbeServer():
-            return {"cmd": "SAMPLE", "machine": machine}
+            return {"cmd": "SAMPLE", "machine": server_id}
         case i.CloseIdleConnections():
-            return {"cmd": "CLOSE", "machine": machine}
+            return {"cmd": "CLOSE", "machine": server_id}
         case i.SendToPeer():
-            return {"cmd": "SIGNAL", "neighbour_id": act.peer, "raw": act.payload.hex()}
+            return {"cmd": "SIGNAL", "neighbour_id": action.peer, "raw": action.payload.hex()}
         case i.WakeAt():
-            return {"cmd": "SCHEDULE", "due_at": ns(act.at), "cookie": cookie}
+            return {"cmd": "SCHEDULE", "due_at": ms_to_ns(action.at), "cookie": cookie}
         case i.LogMessage():
-            return {"cmd": "WRITE_LOG", "note_text": act.text}
-    raise TypeError(f"no such action: {act!r}")
+            return {"cmd": "WRITE_LOG", "note_text": action.text}
+    raise TypeError(f"no such action: {action!r}")
--- a/myrtleroad/drill/host.py
+++ b/myrtleroad/drill/host.py
@@ -1,4 +1,6 @@
-"""Instances of the decision module: their reqs (generators), ids and timers. Nothing is decided here."""
+"""Hosts the balancers of simulated fronts: their request coroutines, server indices and timers.
+
+No decisions are made here."""
 
 from collections.abc import Iterable
 from random import Random
@@ -11,165 +13,212 @@
 from myrtleroad.request_coroutine import RequestCoroutine
 from myrtleroad.settings import decode_settings
 
-WAKE, ASK = 0, 1  # the cookies of the module's wake-up and of asking for the list; those above are of reqs
-SIGN_MS = 2000.0  # no signs of life come on this wire; the real one's interval
+# Timer cookies of the balancer's wake-up and of the next call for the server list. Higher ones belong to
+# requests.
+WAKE_COOKIE, LIST_CALL_COOKIE = 0, 1
+# The simulator's protocol has no heartbeats; this is the interval of the platform's protocol.
+HEARTBEAT_INTERVAL_MS = 2000.0
 
 
-class Instance:
-    """One front: a balancer of its own and the ids that only this front has learnt."""
+class SimulatedFront:
+    """One front: its own balancer and the server indices and timers that belong to this front alone."""
 
-    def __init__(self, number: int, settings: dict[str, Any], seed: int, now: float):
-        self.number = number
-        known = decode_settings(settings)
-        self.balancer = Balancer(known, seed, now)
-        rules = known.server_rules
-        most_ms, service = (
+    def __init__(self, front_id: int, raw_settings: dict[str, Any], seed: int, now: float):
+        self.front_id = front_id
+        settings = decode_settings(raw_settings)
+        self.balancer = Balancer(settings, seed, now)
+        rules = settings.server_rules
+        max_poll_interval_ms, service_kind = (
             rules.max_poll_interval_ms or float("inf"),
             ServiceKind.SHARED,
-        )  # a list that is asked for
-        manner = FollowerSettings(known.balancers, rules.drain_grace_ms, SIGN_MS, most_ms, service)
-        self.asks, self.asking = known.list_on_request, CallBackoff(manner, Random(seed).random)
-        self.told: float | None = None  # when the list was first told since the last failure
-        self.index: dict[str, int] = {}  # machine words; grows with the fleet, never with reqs
-        self.words: list[str] = []
-        self.held: dict[int, RequestCoroutine] = {}  # emptied as each req ends
-        self.cookies: dict[int, tuple[RequestCoroutine, int]] = {}  # emptied as each timer rings
-        self.next_cookie = ASK + 1
-        self.out: list[dict[str, Any]] = []
-
-    def machine(self, word: str) -> int:
-        if word not in self.index:
-            self.index[word] = len(self.words)
-            self.words.append(word)
-        return self.index[word]
-
-    def handle(self, cmd: str, m: dict[str, Any], now: float, lists: dict[int, Any]) -> None:
-        b = self.balancer
+        )  # the list is requested, from a service that all fronts share
+        follower_settings = FollowerSettings(
+            settings.balancers,
+            rules.drain_grace_ms,
+            HEARTBEAT_INTERVAL_MS,
+            max_poll_interval_ms,
+            service_kind,
+        )
+        self.requests_list, self.list_backoff = (
+            settings.list_on_request,
+            CallBackoff(follower_settings, Random(seed).random),
+        )
+        self.list_received_at: float | None = None  # the first list since the last failure
+        self.server_indices: dict[str, int] = {}  # by server id; grows with the fleet, never with requests
+        self.server_ids: list[str] = []
+        self.open_requests: dict[int, RequestCoroutine] = {}  # an entry goes as its request ends
+        # Request and wait number for each timer; an entry goes as its timer fires.
+        self.timers: dict[int, tuple[RequestCoroutine, int]] = {}
+        self.next_cookie = LIST_CALL_COOKIE + 1
+        self.messages: list[dict[str, Any]] = []  # to be sent with the reply to the current batch
+
+    def server_index(self, server_id: str) -> int:
+        """The index of a server, assigned when the server is first seen."""
+        if server_id not in self.server_indices:
+            self.server_indices[server_id] = len(self.server_ids)
+            self.server_ids.append(server_id)
+        return self.server_indices[server_id]
+
+    def handle_event(self, cmd: str, event: dict[str, Any], now: float, lists: dict[int, Any]) -> None:
+        """Processes one event. ``lists`` holds the entries of the server lists by their reference.
+
+        Raises ``codec.ProtocolError`` on an unknown event."""
+        balancer = self.balancer
         match cmd:
             case "ACCEPT":
-                held = RequestCoroutine(m["job"], b.serve_request(codec.req(m, now), now))
-                self.held[held.request_id] = held
-                self.resume(held, None, now)
+                request = RequestCoroutine(
+                    event["job"], balancer.serve_request(codec.decode_request(event, now), now)
+                )
+                self.open_requests[request.request_id] = request
+                self.resume_request(request, None, now)
             case "CLOSED_ATTEMPT":
-                ended = codec.ended(m, self.machine(m["machine"]))
-                b.record_outcome(m["job"], ended, now)
-                held = self.held.get(m["job"])
-                if held and ended.request_finished:
-                    self.drop(held)
-                elif held:
-                    self.resume(held, ended, now)
+                ended = codec.decode_attempt_ended(event, self.server_index(event["machine"]))
+                balancer.record_outcome(event["job"], ended, now)
+                request = self.open_requests.get(event["job"])
+                if request and ended.request_finished:
+                    self.drop_request(request)
+                elif request:
+                    self.resume_request(request, ended, now)
             case "RING":
-                if m["cookie"] == WAKE:
-                    self.act(b.wake(now))
-                elif m["cookie"] == ASK:
-                    self.act([i.WatchServerList()])
-                elif mark := self.cookies.pop(m["cookie"], None):
-                    held, wait = mark
-                    if held.wait_number == wait:
-                        self.resume(held, None, now)
+                if event["cookie"] == WAKE_COOKIE:
+                    self.perform(balancer.wake(now))
+                elif event["cookie"] == LIST_CALL_COOKIE:
+                    self.perform([i.WatchServerList()])
+                elif timer := self.timers.pop(event["cookie"], None):
+                    request, wait_number = timer
+                    if request.wait_number == wait_number:
+                        self.resume_request(request, None, now)
             case "CANCELLED_BY_CLIENT":
-                if held := self.held.get(m["job"]):
-                    self.drop(held)
+                if request := self.open_requests.get(event["job"]):
+                    self.drop_request(request)
             case "ACCEPTED":
-                if held := self.held.get(m["job"]):
-                    held.cancel_timeout()  # the stream has begun
+                if request := self.open_requests.get(event["job"]):
+                    request.cancel_timeout()  # the response has begun
             case "DISCOVERY":
-                if m["kind"] == codec.FAILED:
-                    self.ask_again(now)
+                if event["kind"] == codec.LIST_UNAVAILABLE:
+                    self.schedule_list_call(now)
                     return
-                kind = codec.LISTS[m["kind"]]
+                kind = codec.LIST_KINDS[event["kind"]]
                 if kind != i.ListKind.REMEMBERED:
-                    self.told = now if self.told is None else self.told
-                rows = [codec.row(e, self.machine(e["machine"])) for e in lists[m.get("ref", 0)]]
-                self.act(b.update_server_list(i.ServerListUpdate(kind, rows), now))
+                    self.list_received_at = now if self.list_received_at is None else self.list_received_at
+                entries = [
+                    codec.decode_server_entry(entry, self.server_index(entry["machine"]))
+                    for entry in lists[event.get("ref", 0)]
+                ]
+                self.perform(balancer.update_server_list(i.ServerListUpdate(kind, entries), now))
             case "SHIP_STATE":
-                self.act(b.update_stage(codec.stage_news(m), now))
+                self.perform(balancer.update_stage(codec.decode_stage_update(event), now))
             case "BAD_ANSWER":
-                b.record_bad_response(codec.flagged(m, self.machine(m["machine"])), now)
+                balancer.record_bad_response(
+                    codec.decode_bad_response(event, self.server_index(event["machine"])), now
+                )
             case "SCORECARD":
-                b.record_counts(codec.tally(m), now)
+                balancer.record_counts(codec.decode_attempt_counts(event), now)
             case "PROBED" | "DATAGRAM":
-                pass  # the module asks for no probes and sends no messages
+                pass  # the decision module requests no probes and sends no messages to peers
             case _:
-                raise codec.WireFault(f"unknown event {cmd!r}")
-
-    def begin(self, now: float) -> None:
-        self.act(self.balancer.wake(now))
-        if self.asks:
-            self.act([i.WatchServerList()])
-
-    def ask_again(self, now: float) -> None:
-        stood = None if self.told is None else now - self.told
-        self.told = None
-        self.put(codec.action(i.WakeAt(now + self.asking.next_pause_ms(stood)), None, None, ASK))
-
-    def drop(self, held: RequestCoroutine) -> None:
-        held.close()
-        del self.held[held.request_id]
-
-    def act(self, actions: Iterable[i.Action]) -> None:
-        for a in actions:
-            word = self.words[a.server] if isinstance(a, i.ProbeServer | i.CloseIdleConnections) else None
-            self.put(codec.action(a, word, None, WAKE))
-
-    def put(self, message: dict[str, Any]) -> None:
-        message["front_id"] = self.number
-        self.out.append(message)
-
-    def resume(self, held: RequestCoroutine, result: i.AttemptEnded | None, now: float) -> None:
-        for act in held.resume(result, now):
-            word = self.words[act.server] if isinstance(act, i.SendAttempt) else None
-            self.put(codec.action(act, word, held.request_id))
-        if held.finished:
-            del self.held[held.request_id]
-        elif held.max_wait_ms is not None:
-            self.cookies[self.next_cookie] = (held, held.wait_number)
-            self.put(codec.action(i.WakeAt(now + held.max_wait_ms), None, None, self.next_cookie))
+                raise codec.ProtocolError(f"unknown event {cmd!r}")
+
+    def start(self, now: float) -> None:
+        """Performs the first actions of a new front."""
+        self.perform(self.balancer.wake(now))
+        if self.requests_list:
+            self.perform([i.WatchServerList()])
+
+    def schedule_list_call(self, now: float) -> None:
+        """Schedules the next call for the server list after the previous one has failed or ended."""
+        lasted_ms = None if self.list_received_at is None else now - self.list_received_at
+        self.list_received_at = None
+        self.add_message(
+            codec.encode_action(
+                i.WakeAt(now + self.list_backoff.next_pause_ms(lasted_ms)), None, None, LIST_CALL_COOKIE
+            )
+        )
+
+    def drop_request(self, request: RequestCoroutine) -> None:
+        """Closes a request that needs no further actions."""
+        request.close()
+        del self.open_requests[request.request_id]
+
+    def perform(self, actions: Iterable[i.Action]) -> None:
+        """Adds the messages of actions that belong to no request."""
+        for action in actions:
+            server_id = (
+                self.server_ids[action.server]
+                if isinstance(action, i.ProbeServer | i.CloseIdleConnections)
+                else None
+            )
+            self.add_message(codec.encode_action(action, server_id, None, WAKE_COOKIE))
+
+    def add_message(self, message: dict[str, Any]) -> None:
+        """Adds a message of this front to the reply."""
+        message["front_id"] = self.front_id
+        self.messages.append(message)
+
+    def resume_request(self, request: RequestCoroutine, result: i.AttemptEnded | None, now: float) -> None:
+        """Resumes a request and sets the timer of its next wait. ``result`` is None after a timeout and at
+        the start."""
+        for action in request.resume(result, now):
+            server_id = self.server_ids[action.server] if isinstance(action, i.SendAttempt) else None
+            self.add_message(codec.encode_action(action, server_id, request.request_id))
+        if request.finished:
+            del self.open_requests[request.request_id]
+        elif request.max_wait_ms is not None:
+            self.timers[self.next_cookie] = (request, request.wait_number)
+            self.add_message(
+                codec.encode_action(i.WakeAt(now + request.max_wait_ms), None, None, self.next_cookie)
+            )
             self.next_cookie += 1
 
 
 class Host:
-    """All instances of one process; they share the list texts of the wire and nothing else."""
+    """All simulated fronts of one process. They share the entries of the server lists and nothing else."""
 
     def __init__(self) -> None:
-        self.instances: dict[int, Instance] = {}
+        self.fronts: dict[int, SimulatedFront] = {}
         self.lists: dict[int, list[dict[str, Any]]] = {}
 
-    def event(self, m: dict[str, Any], now: float, touched: dict[int, list]) -> bool:
-        """Take one event; False once the decisions have failed and said so."""
-        cmd, number = m["cmd"], m.get("front_id")
+    def process_event(self, event: dict[str, Any], now: float, touched: dict[int, list]) -> bool:
+        """Processes one event and notes in ``touched`` the messages of the front that it concerned.
+
+        Returns False after the decision module has raised an exception; the front's messages are then
+        replaced by the one that reports it."""
+        cmd, front_id = event["cmd"], event.get("front_id")
         if cmd == "SNAPSHOT_ROWS":
-            self.lists[m["ref"]] = m.get("entries", [])
+            self.lists[event["ref"]] = event.get("entries", [])
             return True
         if cmd == "CRASH_NOW":
-            self.instances.pop(number, None)
-            touched.pop(number, None)
+            self.fronts.pop(front_id, None)
+            touched.pop(front_id, None)
             return True
         try:
             if cmd == "BORN":
-                instance = Instance(number, m["settings"], m["salt"], now)
-                self.instances[number] = instance
-                instance.begin(now)
-            elif number in self.instances:
-                instance = self.instances[number]
-                instance.handle(cmd, m, now, self.lists)
+                front = SimulatedFront(front_id, event["settings"], event["salt"], now)
+                self.fronts[front_id] = front
+                front.start(now)
+            elif front_id in self.fronts:
+                front = self.fronts[front_id]
+                front.handle_event(cmd, event, now, self.lists)
             else:
                 return True
-        except codec.WireFault:
+        except codec.ProtocolError:
             raise
         except Exception as error:
-            touched[number] = [codec.fault(number, cmd, error)]
+            touched[front_id] = [codec.failure_message(front_id, cmd, error)]
             return False
-        touched[number] = instance.out
+        touched[front_id] = front.messages
         return True
 
-    def batch(self, now: float, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    def process_batch(self, now: float, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
+        """Processes the events of a batch in order and returns the messages of the reply, front by front in
+        the order in which the events first concerned them. ``now`` is in ms. The rest of the batch is left
+        out once an event has failed."""
         touched: dict[int, list] = {}
-        for m in events:
-            if not self.event(m, now, touched):
+        for event in events:
+            if not self.process_event(event, now, touched):
                 break
-        reply = [message for out in touched.values() for message in out]
-        for number in touched:
-            if number in self.instances:
-                self.instances[number].out = []
+        reply = [message for messages in touched.values() for message in messages]
+        for front_id in touched:
+            if front_id in self.fronts:
+                self.fronts[front_id].messages = []
         return reply
