--- a/myrtleroad/__main__.py
+++ b/myrtleroad/__main__.py
@@ -1,11 +1,11 @@
-"""The program's entry: signals wait before anything slow is loaded."""
+"""Entry point of the program. Signals are blocked before anything slow is imported."""
 
 import sys
 
-from myrtleroad.startup import hold_signals
+from myrtleroad.startup import block_signals
 
 if __name__ == "__main__":
-    hold_signals(sys.argv)
+    block_signals(sys.argv)
 
     from myrtleroad.cli import main
 
--- a/myrtleroad/cli.py
+++ b/myrtleroad/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, version, check."""
+"""The command line: serve, check, version, and the command groups config and control."""
 
 import importlib
 import os
@@ -9,45 +9,56 @@
 from myrtleroad import __version__
 
 
-class Late(click.Group):
-    """Groups whose modules load only when they are called: a front fits 64 MB."""
+class LazyGroup(click.Group):
+    """A group whose lazy commands are imported only when used, so that a front stays within 64 MB.
 
-    def __init__(self, *args, late: dict[str, str], **kwargs):
+    ``lazy_commands`` maps the name of a command to the module that defines it under this name."""
+
+    def __init__(self, *args, lazy_commands: dict[str, str], **kwargs):
         super().__init__(*args, **kwargs)
-        self.late = late
+        self.lazy_commands = lazy_commands
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *self.late])
+        return sorted([*super().list_commands(ctx), *self.lazy_commands])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        if name not in self.late:
+        if name not in self.lazy_commands:
             return super().get_command(ctx, name)
-        return getattr(importlib.import_module(self.late[name]), name)
+        return getattr(importlib.import_module(self.lazy_commands[name]), name)
 
 
 @click.group(
-    cls=Late, late={"config": "myrtleroad.config.commands", "control": "myrtleroad.control.commands"}
+    cls=LazyGroup,
+    lazy_commands={"config": "myrtleroad.config.commands", "control": "myrtleroad.control.commands"},
 )
 def main() -> None:
     """myrtleroad, a proxy that tries out new builds on live traffic."""
 
 
 @main.command()
-@click.option("--with", "also", type=click.Path(exists=True, dir_okay=False), help="A KDL file of our own.")
+@click.option(
+    "--with",
+    "also",
+    type=click.Path(exists=True, dir_okay=False),
+    help="KDL file with what NODE_CONFIG lacks.",
+)
 def serve(also: str | None) -> None:
-    """Run one front, as NODE_CONFIG describes it, until SIGTERM. What the platform's configuration does not
-    know, as a control service, stands in a file of its own (deploy/front.kdl)."""
-    # One core is shared: the linear algebra library must not start threads, each with memory of its own.
+    """Run one front, configured by NODE_CONFIG, until SIGTERM.
+
+    What the platform's configuration has no field for, such as the address of a control service, is read from
+    a second file (see deploy/front.kdl)."""
+    # A front shares a single core, so the linear algebra library must not start threads; each of them would
+    # take memory of its own.
     os.environ["OPENBLAS_NUM_THREADS"] = "1"
     from myrtleroad.net import front, node_config
 
     try:
-        told_now = node_config.read_node_config()
-        program = front.Front(told_now, front_file=also)
-    except node_config.ConfigError as fault:
-        sys.exit(f"myrtleroad: {fault}")
-    except OSError as fault:
-        sys.exit(f"myrtleroad: cannot listen: {fault}")
+        config = node_config.read_node_config()
+        program = front.Front(config, front_file=also)
+    except node_config.ConfigError as error:
+        sys.exit(f"myrtleroad: {error}")
+    except OSError as error:
+        sys.exit(f"myrtleroad: cannot listen: {error}")
     program.run()
 
 
@@ -60,15 +71,15 @@
 @main.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def check(file: str) -> None:
-    """Decode a configuration and say what a front would be told."""
+    """Decode a node configuration and print a summary of it."""
     from myrtleroad.net import node_config
 
     try:
-        t = node_config.read_node_config(file)
-    except node_config.ConfigError as fault:
-        sys.exit(f"myrtleroad: {fault}")
+        config = node_config.read_node_config(file)
+    except node_config.ConfigError as error:
+        sys.exit(f"myrtleroad: {error}")
     click.echo(
-        f"{t.name}: {len(t.routes)} routes, {len(t.tenants)} tenants, "
-        f"{len(t.initial_list.servers)} machines, build {t.initial_stage.build} "
-        f"stage {t.initial_stage.stage} {t.initial_stage.phase.name.lower()}"
+        f"{config.name}: {len(config.routes)} routes, {len(config.tenants)} tenants, "
+        f"{len(config.initial_list.servers)} machines, build {config.initial_stage.build} "
+        f"stage {config.initial_stage.stage} {config.initial_stage.phase.name.lower()}"
     )
--- a/myrtleroad/net/front.py
+++ b/myrtleroad/net/front.py
@@ -23,7 +23,7 @@
 )
 from myrtleroad.net.platform import StageUpdates, VoteCaster
 from myrtleroad.net.stream import FollowerContext
-from myrtleroad.startup import release_signals
+from myrtleroad.startup import unblock_signals
 
 LATE_CONNECTIONS_S = 0.45  # new connections keep arriving for up to 0.4 s after SIGTERM
 
@@ -80,7 +80,7 @@
         gevent.signal_handler(signal.SIGINT, self.on_term)
         gevent.signal_handler(signal.SIGUSR1, self.log_counters)
         gevent.signal_handler(signal.SIGHUP, self.reload)
-        release_signals()
+        unblock_signals()
         self.log("start", name=self.node_config.name, machines=len(self.node_config.initial_list.servers))
         self.dispatcher.start()
         for actor in (
