--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,11 +1,12 @@
-"""A fleet in virtual time: many real balancers against stand-in machines. Shows what is harmless in one front
-and hurts in all. No sockets, no wall clock; the same seed gives the same run.
+"""Simulates a fleet in virtual time: many real balancers and modelled servers. Shows what does no harm in a
+single front but does when all fronts do it. It uses no sockets and no wall clock, and the same seed gives the
+same run.
 
-    python -m benchmarks.fleet                                  # calm, 230 fronts, 150 machines, one seed
+    python -m benchmarks.fleet                                  # calm, 230 fronts, 150 servers, one seed
     python -m benchmarks.fleet --day zone --machines 1024 --seeds 10
 
-The machines are models (queue before some cores, warm-up, connections and what a new one costs), not
-measurements of real ones. Clients ask once. What it prints are ratios of one run.
+The servers are models (a queue in front of some cores, slow start, connections and the cost of new ones), not
+measurements of real servers. Clients do not retry. The printed figures are ratios within one run.
 """
 
 import argparse
@@ -22,31 +23,65 @@
 from myrtleroad.policy.balancer import Balancer
 from myrtleroad.request_coroutine import RequestCoroutine
 
-DAYS = ("calm", "pause", "kill", "zone", "cut", "stale", "trial", "burst")
-GRACE, COLD_MS, COLD_SHARE, FALL_MS, FACTOR, IDLE_MS = 250.0, 3000.0, 0.36, 2000.0, 2.0, 15_000.0
-LATE_MS = (300.0, 900.0)  # from a change at a machine to a front's list
-WIRE_MS, CONNECT_MS, HANDSHAKE_MS = 0.3, 250.0, 1.0  # one way; the longest wait; work of a new connection
-WORK = ((250.0, 0.68), (100.0, 0.32))  # mean work of a route in ms, its part of the reqs
+SCENARIOS = ("calm", "pause", "kill", "zone", "cut", "stale", "trial", "burst")
+(
+    DRAIN_GRACE_MS,
+    SLOW_START_MS,
+    SLOW_START_MIN_SHARE,
+    OVERLOAD_WINDOW_MS,
+    OVERLOAD_FACTOR,
+    IDLE_TIMEOUT_MS,
+) = 250.0, 3000.0, 0.36, 2000.0, 2.0, 15_000.0
+LIST_DELAY_MS = (300.0, 900.0)  # range of the time from a change at a server until a front's list shows it
+# Delay in one direction; time limit of connecting; work that a new connection causes at the server.
+ONE_WAY_DELAY_MS, CONNECT_TIMEOUT_MS, HANDSHAKE_WORK_MS = 0.3, 250.0, 1.0
+ROUTE_WORK = ((250.0, 0.68), (100.0, 0.32))  # for each route: mean work in ms, share of the requests
 ROUTES = (
     i.Route(i.RetrySafety.RETRIABLE, i.DedupScope.ALL, 0.0, 2000.0, 6000.0, 2.0, 0.0),
     i.Route(i.RetrySafety.NON_RETRIABLE, i.DedupScope.ALL, 0.0, 750.0, 2000.0, 3.0, 0.2),
 )
 
 
-def facts(fronts: int, per_s: float, zone: int) -> i.Settings:
-    """``per_s``: what all tenants together are granted."""
-    caps, on, back = (0.05, 0.4, 1.0), math.ceil(0.4 * fronts), math.ceil(0.08 * fronts)
-    gate, calls = i.VoteMode.COUNT, max(10.0, fronts / 12)
-    roll = i.Rollout(gate, on, back, 6000.0, 2000.0, calls, 900.0, caps, 2000.0, 1.0, False, 0, False, 0.0)
+def build_settings(fronts: int, quota_per_s: float, zone: int) -> i.Settings:
+    """Settings of a front. ``quota_per_s``: the request quota of all tenants together."""
+    stage_caps, votes_to_advance, votes_to_roll_back = (
+        (0.05, 0.4, 1.0),
+        math.ceil(0.4 * fronts),
+        math.ceil(0.08 * fronts),
+    )
+    vote_mode, max_calls_per_s = i.VoteMode.COUNT, max(10.0, fronts / 12)
+    rollout = i.Rollout(
+        vote_mode,
+        votes_to_advance,
+        votes_to_roll_back,
+        6000.0,
+        2000.0,
+        max_calls_per_s,
+        900.0,
+        stage_caps,
+        2000.0,
+        1.0,
+        False,
+        0,
+        False,
+        0.0,
+    )
     return i.Settings(
         balancers=fronts,
         zone=zone,
         routes=ROUTES,
-        tenants=tuple(i.Tenant(s, s * per_s) for s in (0.4, 0.3, 0.3)),
+        tenants=tuple(i.Tenant(share, share * quota_per_s) for share in (0.4, 0.3, 0.3)),
         over_share_benefit=0.2,
         benefit_by_work=False,
-        server_rules=i.ServerRules(GRACE, COLD_MS, COLD_SHARE, FACTOR, FALL_MS, 10_000.0),
-        rollout=roll,
+        server_rules=i.ServerRules(
+            DRAIN_GRACE_MS,
+            SLOW_START_MS,
+            SLOW_START_MIN_SHARE,
+            OVERLOAD_FACTOR,
+            OVERLOAD_WINDOW_MS,
+            10_000.0,
+        ),
+        rollout=rollout,
         list_on_request=True,
         max_attempts=6,
         hedging_allowed=True,
@@ -55,384 +90,517 @@
         weights_are_capacity=True,
         load_column=0,
         handshake_cost=0.08,
-        idle_timeout_ms=IDLE_MS,
+        idle_timeout_ms=IDLE_TIMEOUT_MS,
     )
 
 
 @dataclass(slots=True, eq=False)
-class Node:
-    """A stand-in machine: reqs wait for the first free of its cores."""
+class SimulatedServer:
+    """Model of a server: requests wait for the first of its cores to become free. Times are in ms."""
 
-    number: int
+    index: int
     cores: int
     speed: float
     zone: int
-    most_conns: int
-    free: list[float]  # when each core is free, a heap
-    row: i.ServerEntry
-    held: int = 0
-    out: dict[int, tuple] = field(default_factory=dict)  # tries it has; emptied by each one's end
-    conns: int = 0
-    up: bool = True
-    cut: bool = False  # nobody reaches it
-    life: int = 0  # counts its starts: what it held before is gone
-    started: float = -1e9
-    got: deque[tuple[float, float]] = field(default_factory=deque)  # work come while cold; emptied by age
-
-    def warmth(self, now: float) -> float:
-        return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * (now - self.started) / COLD_MS)
-
-    def take(self, work: float, now: float) -> float:
-        """When this work is done."""
-        begin = max(now, heapq.heappop(self.free))
-        end = begin + work / (self.speed * self.warmth(begin))
-        heapq.heappush(self.free, end)
-        self.held += 1
+    max_connections: int
+    cores_free_at: list[float]  # when each core becomes free, as a heap
+    entry: i.ServerEntry
+    request_count: int = 0  # requests that wait or are being executed
+    open_attempts: dict[int, tuple] = field(default_factory=dict)  # an entry goes as its attempt ends
+    connections: int = 0
+    running: bool = True
+    unreachable: bool = False  # the network drops everything that is sent to it
+    restarts: int = 0  # tells work of an earlier start, which is gone, from that of the current one
+    started_at: float = -1e9
+    # Time and work of the attempts received during the slow start, within the overload window.
+    recent_work: deque[tuple[float, float]] = field(default_factory=deque)
+
+    def capacity_share(self, now: float) -> float:
+        """The share of its full capacity that the server has reached, 1 after the slow start."""
+        return min(
+            1.0, SLOW_START_MIN_SHARE + (1 - SLOW_START_MIN_SHARE) * (now - self.started_at) / SLOW_START_MS
+        )
+
+    def add_request(self, work_ms: float, now: float) -> float:
+        """Queues a request and returns when it will be finished."""
+        begin = max(now, heapq.heappop(self.cores_free_at))
+        end = begin + work_ms / (self.speed * self.capacity_share(begin))
+        heapq.heappush(self.cores_free_at, end)
+        self.request_count += 1
         return end
 
-    def toppled(self, work: float, now: float) -> bool:
-        """Whether this is more than a cold machine bears in a window (with a few reqs' slack for chance)."""
-        if now - self.started >= COLD_MS:
-            self.got.clear()
+    def is_overloaded(self, work_ms: float, now: float) -> bool:
+        """Adds an attempt's work and returns whether a cold server now has more than it may get in a window.
+
+        The slack of a few requests allows for chance."""
+        if now - self.started_at >= SLOW_START_MS:
+            self.recent_work.clear()
             return False
-        self.got.append((now, work))
-        while self.got[0][0] <= now - FALL_MS:
-            self.got.popleft()
-        bears = FACTOR * self.cores * self.speed * self.warmth(now) * min(FALL_MS, now - self.started + 500)
-        return sum(w for _, w in self.got) > bears + 3 * WORK[0][0]
+        self.recent_work.append((now, work_ms))
+        while self.recent_work[0][0] <= now - OVERLOAD_WINDOW_MS:
+            self.recent_work.popleft()
+        limit_ms = (
+            OVERLOAD_FACTOR
+            * self.cores
+            * self.speed
+            * self.capacity_share(now)
+            * min(OVERLOAD_WINDOW_MS, now - self.started_at + 500)
+        )
+        return sum(work for _, work in self.recent_work) > limit_ms + 3 * ROUTE_WORK[0][0]
 
 
 @dataclass(slots=True, eq=False)
-class Front:
-    number: int
+class SimulatedFront:
+    """A front: its real balancer, its connections and what is needed to check the rules on sending."""
+
+    index: int
     zone: int
     weight: float
     balancer: Balancer
-    idle: dict[int, list[float]] = field(default_factory=dict)  # by node: when each idle connection was freed
-    knows: dict[int, tuple[i.ServerStatus, float]] = field(
-        default_factory=dict
-    )  # what it was told of a node, when
-    trial: deque[float] = field(default_factory=deque)  # tries on the trial; emptied by age, as is ``taken``
-    taken: deque[float] = field(default_factory=deque)
+    # For each server, when each idle connection became idle.
+    idle_connections: dict[int, list[float]] = field(default_factory=dict)
+    # For each server, the status that the front was last notified of, and when.
+    known_statuses: dict[int, tuple[i.ServerStatus, float]] = field(default_factory=dict)
+    # Times of attempts on the trial build and of requests, within the exposure window.
+    recent_trial_attempts: deque[float] = field(default_factory=deque)
+    recent_requests: deque[float] = field(default_factory=deque)
 
 
 class Fleet:
-    """One run. ``play`` returns the counts; times are ms of the run's own clock."""
-
-    def __init__(self, fronts: int, machines: int, seed: int, load: float = 0.57, zones: int = 3):
-        self.chance, self.counts, self.now = Random(seed), Counter(), 0.0
-        self.events: list[tuple[float, int, Callable, tuple]] = []  # emptied as they happen
-        self.number = 0
-        draw = self.chance.uniform
-        self.nodes = []
-        for n in range(machines):
-            cores, speed = (3, draw(0.85, 1.1)) if n % 2 else (4, draw(0.64, 0.86))
-            row = i.ServerEntry(n, i.ServerStatus.IN_SERVICE, 1, n % zones, n // 6, n % 2, float(cores), 0.0)
-            most = max(40, fronts // 2) if machines > 20 else 2 * fronts
-            self.nodes.append(Node(n, cores, speed, n % zones, most, [0.0] * cores, row))
-        mean = sum(w * part for w, part in WORK)
-        self.per_ms = load * sum(n.cores * n.speed for n in self.nodes) / mean
-        quota = 1300 * self.per_ms
+    """One run. ``play`` returns the counts. Times are in ms of the run's own clock.
+
+    ``load``: offered work as a share of the capacity of all servers."""
+
+    def __init__(self, fronts: int, servers: int, seed: int, load: float = 0.57, zones: int = 3):
+        self.random, self.counts, self.now = Random(seed), Counter(), 0.0
+        self.events: list[tuple[float, int, Callable, tuple]] = []  # a heap of what is still to happen
+        self.event_count = 0
+        uniform = self.random.uniform
+        self.servers = []
+        for index in range(servers):
+            cores, speed = (3, uniform(0.85, 1.1)) if index % 2 else (4, uniform(0.64, 0.86))
+            entry = i.ServerEntry(
+                index, i.ServerStatus.IN_SERVICE, 1, index % zones, index // 6, index % 2, float(cores), 0.0
+            )
+            max_connections = max(40, fronts // 2) if servers > 20 else 2 * fronts
+            self.servers.append(
+                SimulatedServer(index, cores, speed, index % zones, max_connections, [0.0] * cores, entry)
+            )
+        mean_work_ms = sum(work_ms * share for work_ms, share in ROUTE_WORK)
+        self.requests_per_ms = (
+            load * sum(server.cores * server.speed for server in self.servers) / mean_work_ms
+        )
+        quota_per_s = 1300 * self.requests_per_ms
         self.fronts = []
-        for n in range(fronts):
-            b = Balancer(facts(fronts, quota, n % zones), self.chance.getrandbits(40), 0.0)
-            self.fronts.append(Front(n, n % zones, self.chance.lognormvariate(0.0, 0.6), b))
-        self.cap, self.longest = 0.0, 0
-
-    def at(self, when: float, call: Callable, *args) -> None:
-        self.number += 1
-        heapq.heappush(self.events, (when, self.number, call, args))
-
-    def play(self, day: str, length: float = 20_000.0) -> Counter:
-        self.length = length
-        for f in self.fronts:
-            f.balancer.update_stage(self.news(1, i.RolloutPhase.RELEASED, 0.0), 0.0)
-            rows = [
-                i.ServerEntry(*(getattr(n.row, name) for name in i.ServerEntry.__slots__)) for n in self.nodes
+        for index in range(fronts):
+            balancer = Balancer(
+                build_settings(fronts, quota_per_s, index % zones), self.random.getrandbits(40), 0.0
+            )
+            self.fronts.append(
+                SimulatedFront(index, index % zones, self.random.lognormvariate(0.0, 0.6), balancer)
+            )
+        self.trial_cap, self.longest_queue = 0.0, 0
+
+    def schedule(self, at: float, call: Callable, *args) -> None:
+        """Makes the run call ``call`` with ``args`` at this time; calls of the same time keep their order."""
+        self.event_count += 1
+        heapq.heappush(self.events, (at, self.event_count, call, args))
+
+    def play(self, scenario: str, duration_ms: float = 20_000.0) -> Counter:
+        """Runs a scenario of ``SCENARIOS`` and returns its counts.
+
+        Clients send requests for ``duration_ms``; the run goes on for 8 s, so that all of them end."""
+        self.duration_ms = duration_ms
+        for front in self.fronts:
+            front.balancer.update_stage(self.stage_update(1, i.RolloutPhase.RELEASED, 0.0), 0.0)
+            entries = [
+                i.ServerEntry(*(getattr(server.entry, name) for name in i.ServerEntry.__slots__))
+                for server in self.servers
             ]
-            f.balancer.update_server_list(i.ServerListUpdate(i.ListKind.REMEMBERED, rows), 0.0)
-            self.at(self.chance.uniform(0, 100), self.wake, f)
-        self.arrive(Weights(self.fronts))
-        getattr(self, f"on_{day}")()
-        while self.events and self.events[0][0] < length + 8000:
+            front.balancer.update_server_list(i.ServerListUpdate(i.ListKind.REMEMBERED, entries), 0.0)
+            self.schedule(self.random.uniform(0, 100), self.wake_front, front)
+        self.arrive(FrontSampler(self.fronts))
+        getattr(self, f"schedule_{scenario}")()
+        while self.events and self.events[0][0] < duration_ms + 8000:
             self.now, _, call, args = heapq.heappop(self.events)
             call(*args)
-        self.counts["longest_queue"] = self.longest
-        self.counts["unanswered"] = self.counts["taken"] - self.counts["answered"]
+        self.counts["longest_queue"] = self.longest_queue
+        self.counts["unanswered"] = self.counts["requests"] - self.counts["answered"]
         return self.counts
 
-    # --- the days ---
-
-    def on_calm(self) -> None:
-        pass
-
-    def on_burst(self) -> None:
-        self.at(0.4 * self.length, self.faster, 1.6)
-        self.at(0.6 * self.length, self.faster, 1 / 1.6)
-
-    def on_pause(self) -> None:
-        for n in self.chance.sample(self.nodes, 3 * len(self.nodes) // 10):
-            for k in range(4):
-                when = self.length * (0.2 + 0.15 * k) + self.chance.uniform(0, 1000)
-                self.at(when, self.pause, n, self.chance.uniform(200, 600))
-
-    def on_kill(self) -> None:
-        for f in self.chance.sample(self.fronts, 7 * len(self.fronts) // 10):
-            self.at(0.4 * self.length, self.restart, f)
-
-    def on_zone(self, lost: int = 0) -> None:
-        for n in self.nodes:
-            if n.zone == lost:
-                self.at(0.3 * self.length, self.down, n)
-                self.at(0.3 * self.length + 4000 + self.chance.uniform(0, 600), self.back, n)
-
-    def on_cut(self) -> None:
-        for n in self.chance.sample(self.nodes, len(self.nodes) // 5):
-            self.at(0.3 * self.length, self.sever, n, True)
-            self.at(0.3 * self.length + 6000, self.sever, n, False)
-
-    def on_stale(self) -> None:
-        """Machines drain and come back cold one after another while lists come seconds late."""
-        for k, n in enumerate(self.chance.sample(self.nodes, len(self.nodes) // 3)):
-            when = 0.2 * self.length + 0.5 * self.length * k / (len(self.nodes) // 3)
-            self.at(when, self.drain, n, 2500.0)
-
-    def on_trial(self) -> None:
-        self.cap = 0.068
-        for n in self.nodes[: max(1, len(self.nodes) // 50)]:
-            n.row.build = 2
-            n.started = n.row.started_at = 1.0
-            self.tell(n, 0.0)
-        for f in self.fronts:
-            self.at(500.0, f.balancer.update_stage, self.news(2, i.RolloutPhase.ON_TRIAL, self.cap), 500.0)
-
-    # --- what happens to machines and fronts ---
-
-    def faster(self, factor: float) -> None:
-        self.per_ms *= factor
-
-    def pause(self, n: Node, length: float) -> None:
-        n.free = [max(t, self.now) + length for t in n.free]
-        heapq.heapify(n.free)
-
-    def sever(self, n: Node, cut: bool) -> None:
-        n.cut = cut
-
-    def down(self, n: Node) -> None:
-        """It dies: what it held is reset, its connections are gone."""
-        n.up, n.held, n.conns, n.life = False, 0, 0, n.life + 1
-        for token, ctx in n.out.items():
-            self.at(self.now + WIRE_MS, self.over, token, *ctx, i.Outcome.RESET)
-        for f in self.fronts:
-            f.idle.pop(n.number, None)
-
-    def back(self, n: Node) -> None:
-        n.up, n.started, n.free = True, self.now, [self.now] * n.cores
-        n.row.started_at, n.row.status = self.now, i.ServerStatus.IN_SERVICE
-        self.tell(n, 0.0)
-
-    def drain(self, n: Node, late: float) -> None:
-        n.row.status = i.ServerStatus.DRAINING
-        self.tell(n, late)
-        self.at(self.now + late + 3000, self.down, n)
-        self.at(self.now + late + 4500, self.back, n)
-
-    def tell(self, n: Node, late: float) -> None:
-        for f in self.fronts:
-            when = self.now + late + self.chance.uniform(*LATE_MS)
-            row = i.ServerEntry(*(getattr(n.row, name) for name in i.ServerEntry.__slots__))
-            self.at(when, self.told, f, row)
-
-    def told(self, f: Front, row: i.ServerEntry) -> None:
-        f.knows[row.server] = (row.status, self.now)
-        f.balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [row]), self.now)
-
-    def restart(self, f: Front) -> None:
-        """Killed outright: what it held is gone, owed to nobody."""
-        old = f.balancer
-        f.balancer = Balancer(old.settings, self.chance.getrandbits(40), self.now)
-        f.balancer.update_stage(self.news(1, i.RolloutPhase.RELEASED, 0.0), self.now)
-        rows = [
-            i.ServerEntry(*(getattr(n.row, name) for name in i.ServerEntry.__slots__)) for n in self.nodes
+    # --- scenarios ---
+
+    def schedule_calm(self) -> None:
+        """Nothing fails."""
+
+    def schedule_burst(self) -> None:
+        """The request rate is 1.6 times as high for a fifth of the run."""
+        self.schedule(0.4 * self.duration_ms, self.scale_rate, 1.6)
+        self.schedule(0.6 * self.duration_ms, self.scale_rate, 1 / 1.6)
+
+    def schedule_pause(self) -> None:
+        """Three servers in ten stand still for 200 to 600 ms, four times each."""
+        for server in self.random.sample(self.servers, 3 * len(self.servers) // 10):
+            for round_number in range(4):
+                at = self.duration_ms * (0.2 + 0.15 * round_number) + self.random.uniform(0, 1000)
+                self.schedule(at, self.pause_server, server, self.random.uniform(200, 600))
+
+    def schedule_kill(self) -> None:
+        """Seven fronts in ten are killed and start again in the same moment."""
+        for front in self.random.sample(self.fronts, 7 * len(self.fronts) // 10):
+            self.schedule(0.4 * self.duration_ms, self.restart_front, front)
+
+    def schedule_zone(self, lost_zone: int = 0) -> None:
+        """All servers of a zone crash together and return cold after 4 s."""
+        for server in self.servers:
+            if server.zone == lost_zone:
+                self.schedule(0.3 * self.duration_ms, self.crash_server, server)
+                self.schedule(
+                    0.3 * self.duration_ms + 4000 + self.random.uniform(0, 600), self.start_server, server
+                )
+
+    def schedule_cut(self) -> None:
+        """A fifth of the servers is unreachable for 6 s."""
+        for server in self.random.sample(self.servers, len(self.servers) // 5):
+            self.schedule(0.3 * self.duration_ms, self.set_unreachable, server, True)
+            self.schedule(0.3 * self.duration_ms + 6000, self.set_unreachable, server, False)
+
+    def schedule_stale(self) -> None:
+        """Servers drain and return cold one after another while their list updates are seconds late."""
+        for position, server in enumerate(self.random.sample(self.servers, len(self.servers) // 3)):
+            at = 0.2 * self.duration_ms + 0.5 * self.duration_ms * position / (len(self.servers) // 3)
+            self.schedule(at, self.drain_server, server, 2500.0)
+
+    def schedule_trial(self) -> None:
+        """A build on trial runs on one server in fifty, with a cap on its exposure."""
+        self.trial_cap = 0.068
+        for server in self.servers[: max(1, len(self.servers) // 50)]:
+            server.entry.build = 2
+            server.started_at = server.entry.started_at = 1.0
+            self.announce_change(server, 0.0)
+        for front in self.fronts:
+            self.schedule(
+                500.0,
+                front.balancer.update_stage,
+                self.stage_update(2, i.RolloutPhase.ON_TRIAL, self.trial_cap),
+                500.0,
+            )
+
+    # --- events of servers and fronts ---
+
+    def scale_rate(self, factor: float) -> None:
+        """Multiplies the request rate."""
+        self.requests_per_ms *= factor
+
+    def pause_server(self, server: SimulatedServer, duration_ms: float) -> None:
+        """All cores of a server stand still for this time."""
+        server.cores_free_at = [max(at, self.now) + duration_ms for at in server.cores_free_at]
+        heapq.heapify(server.cores_free_at)
+
+    def set_unreachable(self, server: SimulatedServer, unreachable: bool) -> None:
+        """Cuts a server off from the network, or ends this."""
+        server.unreachable = unreachable
+
+    def crash_server(self, server: SimulatedServer) -> None:
+        """A server ends at once: its open attempts are reset and its connections closed."""
+        server.running, server.request_count, server.connections, server.restarts = (
+            False,
+            0,
+            0,
+            server.restarts + 1,
+        )
+        for attempt_id, context in server.open_attempts.items():
+            self.schedule(
+                self.now + ONE_WAY_DELAY_MS, self.end_attempt, attempt_id, *context, i.Outcome.RESET
+            )
+        for front in self.fronts:
+            front.idle_connections.pop(server.index, None)
+
+    def start_server(self, server: SimulatedServer) -> None:
+        """A server that has ended starts again, cold."""
+        server.running, server.started_at, server.cores_free_at = True, self.now, [self.now] * server.cores
+        server.entry.started_at, server.entry.status = self.now, i.ServerStatus.IN_SERVICE
+        self.announce_change(server, 0.0)
+
+    def drain_server(self, server: SimulatedServer, extra_delay_ms: float) -> None:
+        """A server announces that it drains, ends and starts again. Its announcement has an extra delay."""
+        server.entry.status = i.ServerStatus.DRAINING
+        self.announce_change(server, extra_delay_ms)
+        self.schedule(self.now + extra_delay_ms + 3000, self.crash_server, server)
+        self.schedule(self.now + extra_delay_ms + 4500, self.start_server, server)
+
+    def announce_change(self, server: SimulatedServer, extra_delay_ms: float) -> None:
+        """Sends a server's entry to all fronts, each with a delay of its own."""
+        for front in self.fronts:
+            at = self.now + extra_delay_ms + self.random.uniform(*LIST_DELAY_MS)
+            entry = i.ServerEntry(*(getattr(server.entry, name) for name in i.ServerEntry.__slots__))
+            self.schedule(at, self.deliver_entry, front, entry)
+
+    def deliver_entry(self, front: SimulatedFront, entry: i.ServerEntry) -> None:
+        """A front receives the changed entry of a server."""
+        front.known_statuses[entry.server] = (entry.status, self.now)
+        front.balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [entry]), self.now)
+
+    def restart_front(self, front: SimulatedFront) -> None:
+        """A front is killed and starts again: its open requests are lost and no longer expect an answer."""
+        old_balancer = front.balancer
+        front.balancer = Balancer(old_balancer.settings, self.random.getrandbits(40), self.now)
+        front.balancer.update_stage(self.stage_update(1, i.RolloutPhase.RELEASED, 0.0), self.now)
+        entries = [
+            i.ServerEntry(*(getattr(server.entry, name) for name in i.ServerEntry.__slots__))
+            for server in self.servers
         ]
-        f.balancer.update_server_list(i.ServerListUpdate(i.ListKind.REMEMBERED, rows), self.now)
-        for number, freed in f.idle.items():
-            self.nodes[number].conns -= len(freed)
-        f.idle = {}
+        front.balancer.update_server_list(i.ServerListUpdate(i.ListKind.REMEMBERED, entries), self.now)
+        for server_index, idle_since in front.idle_connections.items():
+            self.servers[server_index].connections -= len(idle_since)
+        front.idle_connections = {}
 
-    def news(self, build: int, phase: i.RolloutPhase, cap: float) -> i.StageUpdate:
+    def stage_update(self, build: int, phase: i.RolloutPhase, cap: float) -> i.StageUpdate:
+        """A stage update of the platform."""
         return i.StageUpdate(i.Outcome.COMPLETED, False, build, 0, phase, cap, 0.0)
 
-    def wake(self, f: Front) -> None:
-        wakes = [a.at for a in f.balancer.wake(self.now) if isinstance(a, i.WakeAt)]
-        if self.now < self.length + 7000:
-            self.at(min(wakes), self.wake, f)
+    def wake_front(self, front: SimulatedFront) -> None:
+        """Wakes a front's balancer and schedules the wake-up that it requests."""
+        wake_times = [action.at for action in front.balancer.wake(self.now) if isinstance(action, i.WakeAt)]
+        if self.now < self.duration_ms + 7000:
+            self.schedule(min(wake_times), self.wake_front, front)
 
-    # --- reqs ---
+    # --- requests ---
 
-    def arrive(self, weights: "Weights") -> None:
-        if self.now < self.length:
-            self.at(self.now + self.chance.expovariate(self.per_ms), self.arrive, weights)
+    def arrive(self, sampler: "FrontSampler") -> None:
+        """A request arrives at a front; the next arrival is scheduled. The first call only schedules."""
+        if self.now < self.duration_ms:
+            self.schedule(self.now + self.random.expovariate(self.requests_per_ms), self.arrive, sampler)
         if self.now > 0:
-            self.asked(weights.draw(self.chance.random()))
-
-    def asked(self, f: Front) -> None:
-        route = 0 if self.chance.random() < WORK[0][1] else 1
-        r = ROUTES[route]
-        self.counts["taken"] += 1
-        self.counts["asked"] += r.benefit
-        tenant = 0 if (u := self.chance.random()) < 0.4 else 1 if u < 0.7 else 2
-        rq = i.Request(self.counts["taken"], route, tenant, None, self.now + r.timeout_ms, 0.0, False)
-        f.taken.append(self.now)
-        life = RequestCoroutine(rq.id, f.balancer.serve_request(rq, self.now))
-        work = self.chance.lognormvariate(-0.2, 0.63) * WORK[route][0]
-        self.step(f, f.balancer, rq, life, work, None)
-
-    def step(
+            self.start_request(sampler.draw(self.random.random()))
+
+    def start_request(self, front: SimulatedFront) -> None:
+        """A front gets a request of a random route and tenant with random work."""
+        route_index = 0 if self.random.random() < ROUTE_WORK[0][1] else 1
+        route = ROUTES[route_index]
+        self.counts["requests"] += 1
+        self.counts["offered_benefit"] += route.benefit
+        tenant = 0 if (draw := self.random.random()) < 0.4 else 1 if draw < 0.7 else 2
+        request = i.Request(
+            self.counts["requests"], route_index, tenant, None, self.now + route.timeout_ms, 0.0, False
+        )
+        front.recent_requests.append(self.now)
+        coroutine = RequestCoroutine(request.id, front.balancer.serve_request(request, self.now))
+        work_ms = self.random.lognormvariate(-0.2, 0.63) * ROUTE_WORK[route_index][0]
+        self.resume_request(front, front.balancer, request, coroutine, work_ms, None)
+
+    def resume_request(
         self,
-        f: Front,
-        b: Balancer,
-        rq: i.Request,
-        life: RequestCoroutine,
-        work: float,
+        front: SimulatedFront,
+        balancer: Balancer,
+        request: i.Request,
+        coroutine: RequestCoroutine,
+        work_ms: float,
         ended: i.AttemptEnded | None,
     ):
-        for act in life.resume(ended, self.now):
-            match act:
-                case i.SendAttempt(machine, timeout):
-                    self.send(f, b, rq, life, work, self.nodes[machine], timeout)
+        """Performs a request's next actions. ``ended`` is None at its start."""
+        for action in coroutine.resume(ended, self.now):
+            match action:
+                case i.SendAttempt(server_index, timeout_ms):
+                    self.send_attempt(
+                        front, balancer, request, coroutine, work_ms, self.servers[server_index], timeout_ms
+                    )
                 case i.Shed() | i.Fail():
                     self.counts["answered"] += 1
-                    self.counts["shed" if isinstance(act, i.Shed) else "errored"] += 1
+                    self.counts["shed" if isinstance(action, i.Shed) else "errored"] += 1
                     if ended is None:
-                        self.counts["shed_untried"] += 1
-                    life.close()
+                        self.counts["rejected_without_attempt"] += 1
+                    coroutine.close()
                     return
 
-    def send(self, f, b, rq, life, work, n: Node, timeout: float) -> None:
-        self.counts["tries"] += 1
-        self.check(f, n)
+    def send_attempt(
+        self, front, balancer, request, coroutine, work_ms, server: SimulatedServer, timeout_ms: float
+    ) -> None:
+        """Sends an attempt to a server and schedules its end."""
+        self.counts["attempts"] += 1
+        self.check_rules(front, server)
         now = self.now
-        try_no = next(k for ident, k in reversed(b.servers[n.number].in_flight) if ident == rq.id)
-        token, ctx = self.counts["tries"], (f, b, rq, life, work, n, try_no, now)
-        n.out[token] = ctx
-        idle = f.idle.get(n.number)
-        if n.cut:
-            # It says nothing: a new connection never comes up, a req on an old one is never answered.
-            end = i.Outcome.TIMEOUT if idle else i.Outcome.NOT_CONNECTED
-            self.at(now + (timeout if idle else min(timeout, CONNECT_MS)), self.over, token, *ctx, end)
+        attempt_number = next(
+            number
+            for request_id, number in reversed(balancer.servers[server.index].in_flight)
+            if request_id == request.id
+        )
+        attempt_id, context = (
+            self.counts["attempts"],
+            (front, balancer, request, coroutine, work_ms, server, attempt_number, now),
+        )
+        server.open_attempts[attempt_id] = context
+        idle_since = front.idle_connections.get(server.index)
+        if server.unreachable:
+            # Packets are dropped: a new connection is never established, and a request on an existing one is
+            # never answered.
+            outcome = i.Outcome.TIMEOUT if idle_since else i.Outcome.NOT_CONNECTED
+            self.schedule(
+                now + (timeout_ms if idle_since else min(timeout_ms, CONNECT_TIMEOUT_MS)),
+                self.end_attempt,
+                attempt_id,
+                *context,
+                outcome,
+            )
             return
-        if not n.up or (not idle and n.conns >= n.most_conns):
-            self.at(now + WIRE_MS, self.over, token, *ctx, i.Outcome.NOT_CONNECTED)
+        if not server.running or (not idle_since and server.connections >= server.max_connections):
+            self.schedule(
+                now + ONE_WAY_DELAY_MS, self.end_attempt, attempt_id, *context, i.Outcome.NOT_CONNECTED
+            )
             return
-        extra = 0.0
-        if idle:
-            idle.pop()
+        extra_work_ms = 0.0
+        if idle_since:
+            idle_since.pop()
         else:
-            n.conns += 1
-            extra = HANDSHAKE_MS
+            server.connections += 1
+            extra_work_ms = HANDSHAKE_WORK_MS
             self.counts["handshakes"] += 1
-        if n.toppled(work, now):
+        if server.is_overloaded(work_ms, now):
             self.counts["broken_cold"] += 1
-        done = n.take(work + extra, now + WIRE_MS)
-        self.longest = max(self.longest, n.held)
-        self.at(done, self.finished, n, n.life)
-        end, when = (
-            (i.Outcome.TIMEOUT, now + timeout)
-            if done - now > timeout
-            else (i.Outcome.COMPLETED, done + WIRE_MS)
+        finished_at = server.add_request(work_ms + extra_work_ms, now + ONE_WAY_DELAY_MS)
+        self.longest_queue = max(self.longest_queue, server.request_count)
+        self.schedule(finished_at, self.finish_work, server, server.restarts)
+        outcome, ends_at = (
+            (i.Outcome.TIMEOUT, now + timeout_ms)
+            if finished_at - now > timeout_ms
+            else (i.Outcome.COMPLETED, finished_at + ONE_WAY_DELAY_MS)
         )
-        self.at(when, self.over, token, *ctx, end)
-
-    def finished(self, n: Node, life: int) -> None:
-        if n.life == life:
-            n.held -= 1
-
-    def over(self, token: int, f, b, rq, life, work, n: Node, try_no, sent, end: i.Outcome) -> None:
-        if n.out.pop(token, None) is None:
-            return  # it was reset before
-        if b is not f.balancer:
-            if not life.finished:
-                life.close()
-                self.counts["answered"] += 1  # owed to nobody: its front was killed
+        self.schedule(ends_at, self.end_attempt, attempt_id, *context, outcome)
+
+    def finish_work(self, server: SimulatedServer, restarts: int) -> None:
+        """A server has finished a request, unless it has restarted since it got it."""
+        if server.restarts == restarts:
+            server.request_count -= 1
+
+    def end_attempt(
+        self,
+        attempt_id: int,
+        front,
+        balancer,
+        request,
+        coroutine,
+        work_ms,
+        server: SimulatedServer,
+        attempt_number,
+        sent_at,
+        outcome: i.Outcome,
+    ) -> None:
+        """An attempt ends: the request is resumed, or counted if it is completed."""
+        if server.open_attempts.pop(attempt_id, None) is None:
+            return  # has been reset
+        if balancer is not front.balancer:
+            if not coroutine.finished:
+                coroutine.close()
+                self.counts["answered"] += 1  # its front was killed, so no answer is expected
                 self.counts["lost_with_front"] += 1
             return
-        if end == i.Outcome.COMPLETED:
-            f.idle.setdefault(n.number, []).append(self.now)
-            self.at(self.now + 0.8 * IDLE_MS, self.expire, f, n, self.now)
-        elif end == i.Outcome.TIMEOUT:
-            n.conns -= 1
-        self.counts[f"try_{end.name.lower()}"] += 1
-        took, done = self.now - sent, end == i.Outcome.COMPLETED
-        ended = i.AttemptEnded(n.number, try_no, end, took, float(n.held) if done else None, done)
-        b.record_outcome(rq.id, ended, self.now)
-        if not done:
-            return self.step(f, b, rq, life, work, ended)
-        life.close()
-        r = ROUTES[rq.route]
+        if outcome == i.Outcome.COMPLETED:
+            front.idle_connections.setdefault(server.index, []).append(self.now)
+            self.schedule(
+                self.now + 0.8 * IDLE_TIMEOUT_MS, self.close_idle_connection, front, server, self.now
+            )
+        elif outcome == i.Outcome.TIMEOUT:
+            server.connections -= 1
+        self.counts[f"attempt_{outcome.name.lower()}"] += 1
+        duration_ms, completed = self.now - sent_at, outcome == i.Outcome.COMPLETED
+        ended = i.AttemptEnded(
+            server.index,
+            attempt_number,
+            outcome,
+            duration_ms,
+            float(server.request_count) if completed else None,
+            completed,
+        )
+        balancer.record_outcome(request.id, ended, self.now)
+        if not completed:
+            return self.resume_request(front, balancer, request, coroutine, work_ms, ended)
+        coroutine.close()
+        route = ROUTES[request.route]
         self.counts["answered"] += 1
-        age = self.now - (rq.deadline - r.timeout_ms)
-        self.counts["served"] += r.benefit if age <= r.objective_ms else r.benefit * r.late_benefit
-        self.counts["late"] += age > r.objective_ms
-        self.counts["unanswered_in_time"] += age > r.timeout_ms + 50
-
-    def expire(self, f: Front, n: Node, freed: float) -> None:
-        if freed in (idle := f.idle.get(n.number, [])):
-            idle.remove(freed)
-            n.conns -= 1
-
-    def check(self, f: Front, n: Node) -> None:
-        """The rules on what is sent, by what this front was told."""
-        status, when = f.knows.get(n.number, (i.ServerStatus.IN_SERVICE, 0.0))
-        self.counts["broken_drain"] += status != i.ServerStatus.IN_SERVICE and self.now - when > GRACE
-        if n.row.build == 2:
-            f.trial.append(self.now)
-            for window in (f.trial, f.taken):
-                while window and window[0] < self.now - 2000.0:
-                    window.popleft()
-            self.counts["trial_tries"] += 1
-            self.counts["broken_exposure"] += len(f.trial) > 1 + self.cap * len(f.taken) + 2
-
-
-class Weights:
-    """Draws fronts by their part of the traffic."""
-
-    def __init__(self, fronts: list[Front]):
-        self.fronts, self.sums, total = fronts, [], 0.0
-        for f in fronts:
-            total += f.weight
-            self.sums.append(total)
-
-    def draw(self, chance: float) -> Front:
-        return self.fronts[bisect(self.sums, chance * self.sums[-1])]
-
-
-def report(c: Counter) -> str:
-    broken = {k[7:]: n for k, n in c.items() if k.startswith("broken_") and n} or "none"
+        age_ms = self.now - (request.deadline - route.timeout_ms)
+        self.counts["served_benefit"] += (
+            route.benefit if age_ms <= route.objective_ms else route.benefit * route.late_benefit
+        )
+        self.counts["late"] += age_ms > route.objective_ms
+        self.counts["answered_after_timeout"] += age_ms > route.timeout_ms + 50
+
+    def close_idle_connection(
+        self, front: SimulatedFront, server: SimulatedServer, idle_since: float
+    ) -> None:
+        """Closes the connection that has been idle since this time, unless it was used meanwhile."""
+        if idle_since in (times := front.idle_connections.get(server.index, [])):
+            times.remove(idle_since)
+            server.connections -= 1
+
+    def check_rules(self, front: SimulatedFront, server: SimulatedServer) -> None:
+        """Counts an attempt that breaks the rules on sending, given what the front was notified of."""
+        status, notified_at = front.known_statuses.get(server.index, (i.ServerStatus.IN_SERVICE, 0.0))
+        self.counts["broken_drain"] += (
+            status != i.ServerStatus.IN_SERVICE and self.now - notified_at > DRAIN_GRACE_MS
+        )
+        if server.entry.build == 2:
+            front.recent_trial_attempts.append(self.now)
+            for times in (front.recent_trial_attempts, front.recent_requests):
+                while times and times[0] < self.now - 2000.0:
+                    times.popleft()
+            self.counts["trial_attempts"] += 1
+            self.counts["broken_exposure"] += (
+                len(front.recent_trial_attempts) > 1 + self.trial_cap * len(front.recent_requests) + 2
+            )
+
+
+class FrontSampler:
+    """Draws fronts in proportion to their share of the traffic."""
+
+    def __init__(self, fronts: list[SimulatedFront]):
+        self.fronts, self.cumulative_weights, total = fronts, [], 0.0
+        for front in fronts:
+            total += front.weight
+            self.cumulative_weights.append(total)
+
+    def draw(self, fraction: float) -> SimulatedFront:
+        """The front at this fraction, from [0, 1), of the total weight."""
+        return self.fronts[bisect(self.cumulative_weights, fraction * self.cumulative_weights[-1])]
+
+
+def report(counts: Counter) -> str:
+    """One line with the ratios of a run and the rules that were broken."""
+    broken = {
+        key[7:]: count for key, count in counts.items() if key.startswith("broken_") and count
+    } or "none"
     return (
-        f"served {c['served'] / c['asked']:.3f}  shed {c['shed'] / c['taken']:.3f} "
-        f"(untried {c['shed_untried'] / c['taken']:.3f})  late {c['late'] / c['taken']:.3f}  "
-        f"handshakes a req {c['handshakes'] / c['taken']:.2f}  not connected {c['try_not_connected']}  "
-        f"longest queue {c['longest_queue']}  unanswered {c['unanswered']}  rules broken: {broken}"
+        f"served {counts['served_benefit'] / counts['offered_benefit']:.3f}  "
+        f"shed {counts['shed'] / counts['requests']:.3f} "
+        f"(untried {counts['rejected_without_attempt'] / counts['requests']:.3f})  "
+        f"late {counts['late'] / counts['requests']:.3f}  "
+        f"handshakes a req {counts['handshakes'] / counts['requests']:.2f}  "
+        f"not connected {counts['attempt_not_connected']}  "
+        f"longest queue {counts['longest_queue']}  unanswered {counts['unanswered']}  rules broken: {broken}"
     )
 
 
 def main() -> None:
-    ask = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    ask.add_argument("--day", default="calm", choices=(*DAYS, "all"))
-    ask.add_argument("--fronts", type=int, default=230)
-    ask.add_argument("--machines", type=int, default=150)
-    ask.add_argument("--seeds", type=int, default=1)
-    ask.add_argument("--seconds", type=float, default=20.0)
-    ask.add_argument("--load", type=float, default=0.57)
-    told = ask.parse_args()
-    for day in DAYS if told.day == "all" else (told.day,):
-        for seed in range(told.seeds):
+    """Runs the scenarios and seeds that the command line names and prints a line for each run."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--day", default="calm", choices=(*SCENARIOS, "all"))
+    parser.add_argument("--fronts", type=int, default=230)
+    parser.add_argument("--machines", type=int, default=150)
+    parser.add_argument("--seeds", type=int, default=1)
+    parser.add_argument("--seconds", type=float, default=20.0)
+    parser.add_argument("--load", type=float, default=0.57)
+    options = parser.parse_args()
+    for scenario in SCENARIOS if options.day == "all" else (options.day,):
+        for seed in range(options.seeds):
             began = time.process_time()
-            counts = Fleet(told.fronts, told.machines, seed, told.load).play(day, 1000 * told.seconds)
-            spent = time.process_time() - began
+            counts = Fleet(options.fronts, options.machines, seed, options.load).play(
+                scenario, 1000 * options.seconds
+            )
+            spent_s = time.process_time() - began
             print(
-                f"{day:6} seed {seed}  {report(counts)}  [{1e6 * spent / counts['taken']:.0f} us a req]",
+                f"{scenario:6} seed {seed}  {report(counts)}  "
+                f"[{1e6 * spent_s / counts['requests']:.0f} us a req]",
                 flush=True,
             )
 
