--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the project's own parts. Ratios within one run; no figure here is a time to be expected."""
+"""Benchmarks of parts of myrtleroad. They print ratios within one run rather than times to be expected."""
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,8 +1,9 @@
-"""What one front needs as the fleet of servers grows, on the same traffic: a real process between stand-ins.
+"""Measures the resources that one front needs as the number of servers grows while the traffic stays the
+same. The front is a real process; the other parties are stand-ins.
 
-    python -m benchmarks.scale            # a table in Markdown, beside what the standing test allows
+    python -m benchmarks.scale            # a table in Markdown, with the limits of the standing test
 
-Ratios are of one run. Servers drain and come back by turns all the while, so that lists are told."""
+Ratios are of one run. Servers drain and return in turn all the time, so that the server list changes."""
 
 import os
 import resource
@@ -16,15 +17,17 @@
 from soak.play import Play
 
 SIZES = (150, 600, 1200, 3200)
-RATE = 20.0  # requests a second
+REQUESTS_PER_S = 20.0
 RUN_S = 15.0
-TURN_S = 0.5  # between two changes of the list
-TICK_S = os.sysconf("SC_CLK_TCK")
+CHANGE_INTERVAL_S = 0.5  # between two changes of the server list
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 KB, MB = 1024, 1024 * 1024
 
 
 @dataclass(slots=True)
-class Need:
+class ResourceUse:
+    """What one front used in a run, or may use. ``list_kb`` is what discovery sent to it."""
+
     servers: int
     cpu_s: float
     memory_mb: float
@@ -35,68 +38,72 @@
 
 
 def cpu_s(pid: int) -> float:
+    """CPU time of a process so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK_S
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def peak_mb(pid: int) -> float:
+    """Peak resident memory of a process, in MB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmHWM")) / KB
 
 
-def measure(servers: int) -> Need:
-    with Play(Deployment(fronts=1, servers=servers), rate=RATE) as play:
+def measure(servers: int) -> ResourceUse:
+    """Runs a front with so many servers and returns what it used."""
+    with Play(Deployment(fronts=1, servers=servers), rate=REQUESTS_PER_S) as play:
         pid, descriptors = play.fronts[0].process.pid, 0
-        begun = play.discovery.sent_bytes
-        for turn in range(int(RUN_S / TURN_S)):
+        sent_bytes_before = play.discovery.sent_bytes
+        for turn in range(int(RUN_S / CHANGE_INTERVAL_S)):
             name = f"s-{turn % servers:03d}"
             play.drain(name) if turn % 2 == 0 else play.bring_back(
                 FIRST_BUILD, f"s-{(turn - 1) % servers:03d}"
             )
-            gevent.sleep(TURN_S)
+            gevent.sleep(CHANGE_INTERVAL_S)
             descriptors = max(descriptors, len(os.listdir(f"/proc/{pid}/fd")))
-        made = sum(server.accepted for server in play.servers.values())
-        sent = (play.discovery.sent_bytes - begun) / KB
-        need = Need(servers, cpu_s(pid), peak_mb(pid), descriptors, made, sent, 0.0)
+        connections = sum(server.accepted for server in play.servers.values())
+        sent_kb = (play.discovery.sent_bytes - sent_bytes_before) / KB
+        used = ResourceUse(servers, cpu_s(pid), peak_mb(pid), descriptors, connections, sent_kb, 0.0)
         play.finish()
         requests = play.records.requests
-        need.served = sum(r.outcome == "served" for r in requests) / max(1, len(requests))
-        return need
+        used.served = sum(request.outcome == "served" for request in requests) / max(1, len(requests))
+        return used
 
 
-def allowed(first: Need, servers: int) -> Need:
-    """The standing test's table, from the need at the smallest size."""
+def allowed_use(smallest: ResourceUse, servers: int) -> ResourceUse:
+    """The limits of the standing test, which follow from the use at the smallest size."""
     thousands = servers / 1000
-    return Need(
+    return ResourceUse(
         servers,
-        1.4 * first.cpu_s + 0.02 + 0.12 * thousands,
-        1.5 * first.memory_mb + 8 + 4 * thousands,
-        2 * first.descriptors + 40,
-        int(2.5 * first.connections + 40),
-        2 * first.list_kb + 64 + 500 * thousands,
-        0.85 * first.served,
+        1.4 * smallest.cpu_s + 0.02 + 0.12 * thousands,
+        1.5 * smallest.memory_mb + 8 + 4 * thousands,
+        2 * smallest.descriptors + 40,
+        int(2.5 * smallest.connections + 40),
+        2 * smallest.list_kb + 64 + 500 * thousands,
+        0.85 * smallest.served,
     )
 
 
-def cells(need: Need) -> str:
-    shown = f"{need.cpu_s:.2f} | {need.memory_mb:.1f} | {need.descriptors} | {need.connections}"
-    return f"{shown} | {need.list_kb:.0f} | {need.served:.3f}"
+def table_cells(used: ResourceUse) -> str:
+    """The cells of a row of the table."""
+    process_cells = f"{used.cpu_s:.2f} | {used.memory_mb:.1f} | {used.descriptors} | {used.connections}"
+    return f"{process_cells} | {used.list_kb:.0f} | {used.served:.3f}"
 
 
 @click.command()
 def main() -> None:
-    """Measure one front at each size of the fleet."""
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+    """Measure one front with each number of servers."""
+    hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
     click.echo("| servers | | CPU s | MB | descriptors | connections | lists kB | served |")
     click.echo("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    first: Need | None = None
+    smallest: ResourceUse | None = None
     for servers in SIZES:
-        need = measure(servers)
-        click.echo(f"| {servers} | needs | {cells(need)} |")
-        if first is not None:
-            click.echo(f"| | allowed | {cells(allowed(first, servers))} |")
-        first = first or need
+        used = measure(servers)
+        click.echo(f"| {servers} | needs | {table_cells(used)} |")
+        if smallest is not None:
+            click.echo(f"| | allowed | {table_cells(allowed_use(smallest, servers))} |")
+        smallest = smallest or used
 
 
 if __name__ == "__main__":
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,8 +1,10 @@
-"""Versions on their way, measured: what reading a large one does to a front's loop, spread, memory.
+"""Measures configuration versions: how reading a large one delays a front's event loop, how long it takes
+until all fronts have one, and the memory that versions take.
 
     python -m benchmarks.versions            # tables in Markdown; ratios within this run
 
-Fronts here are stand-ins of the wire alone; the service, the ledger and the reading are the real ones."""
+The fronts that get versions from the control service are stand-ins that implement its protocol only. The
+control service, the ledger and the parser are the real ones, and so is the front that requests go through."""
 
 import gc
 import os
@@ -27,137 +29,141 @@
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.config_versions import SLICE_PAUSE_S, SLICE_S
 
-TOLD = rules.FrontLimits({}, {}, (), 3, (1.0,), None, "192.0.2.7")
+FRONT_LIMITS = rules.FrontLimits({}, {}, (), 3, (1.0,), None, "192.0.2.7")
 
 
-def text(number: int, entries: int, note: str = "n") -> str:
-    lines = (f'  refuse "10.{n >> 8}.{n & 255}.0/24" note="{note}"' for n in range(entries))
+def version_text(number: int, entries: int, note: str = "n") -> str:
+    """The document of a version with so many networks."""
+    lines = (f'  refuse "10.{index >> 8}.{index & 255}.0/24" note="{note}"' for index in range(entries))
     return "\n".join((f"version {number}", "networks {", *lines, "}", ""))
 
 
-def holds(work: Callable[[], None], rate: float = 240.0) -> list[float]:
-    """How late each of a stream of wake-ups comes while ``work`` runs in a greenlet of its own; seconds."""
-    late: list[float] = []
+def wake_up_delays(work: Callable[[], None], rate: float = 240.0) -> list[float]:
+    """How late each of ``rate`` wake-ups a second comes while ``work`` runs in a greenlet of its own; in
+    seconds, sorted."""
+    delays_s: list[float] = []
     done = gevent.event.Event()
 
-    def ticks() -> None:
+    def wake_repeatedly() -> None:
         due = time.perf_counter()
         while not done.is_set():
             due += 1 / rate
             gevent.sleep(max(0.0, due - time.perf_counter()))
-            late.append(max(0.0, time.perf_counter() - due))
+            delays_s.append(max(0.0, time.perf_counter() - due))
 
-    ticker = gevent.spawn(ticks)
+    waker = gevent.spawn(wake_repeatedly)
     gevent.sleep(0.2)
-    late.clear()
+    delays_s.clear()
     worker = gevent.spawn(work)
     worker.join()
     gevent.sleep(0.05)
     done.set()
-    ticker.join()
-    return sorted(late)
+    waker.join()
+    return sorted(delays_s)
 
 
-def sliced(data: bytes) -> None:
-    """As a front's versions actor reads: others run after each millisecond."""
+def read_sliced(data: bytes) -> None:
+    """Reads a version as a front's ``ConfigVersions`` does: other greenlets run after each millisecond."""
     begun = time.monotonic()
-    for _ in version.read_in_slices(data, TOLD, version.Version()):
+    for _ in version.read_in_slices(data, FRONT_LIMITS, version.Version()):
         if time.monotonic() - begun >= SLICE_S:
             gevent.sleep(SLICE_PAUSE_S)
             begun = time.monotonic()
 
 
-def reading(entries: int) -> list[str]:
-    data = text(1, entries).encode()
+def reading_rows(entries: int) -> list[str]:
+    """Rows on the delays that reading a version of so many entries causes."""
+    data = version_text(1, entries).encode()
     gevent.sleep(0)
-    whole = holds(lambda: version.read(data, TOLD))
-    parts = holds(lambda: sliced(data))
-    idle = holds(lambda: gevent.sleep(0.5))
-    p99 = lambda late: late[int(0.99 * (len(late) - 1))]  # noqa: E731
+    whole = wake_up_delays(lambda: version.read(data, FRONT_LIMITS))
+    slices = wake_up_delays(lambda: read_sliced(data))
+    idle = wake_up_delays(lambda: gevent.sleep(0.5))
+    p99 = lambda delays_s: delays_s[int(0.99 * (len(delays_s) - 1))]  # noqa: E731
     return [
-        f"| longest hold, in one go against in slices | {whole[-1] / parts[-1]:.0f} |",
-        f"| 99% of wake-ups while read in slices against none being read | {p99(parts) / p99(idle):.1f} |",
-        f"| the longest hold in slices, of the whole time in one go | {parts[-1] / whole[-1]:.1%} |",
+        f"| longest hold, in one go against in slices | {whole[-1] / slices[-1]:.0f} |",
+        f"| 99% of wake-ups while read in slices against none being read | {p99(slices) / p99(idle):.1f} |",
+        f"| the longest hold in slices, of the whole time in one go | {slices[-1] / whole[-1]:.1%} |",
     ]
 
 
-def answers(sock: socket.socket) -> None:
-    """A machine: answers each req it reads at once."""
-    text = b""
+def serve_connection(sock: socket.socket) -> None:
+    """A server's side of a connection: answers each request at once."""
+    received = b""
     try:
         while data := sock.recv(1 << 16):
-            text += data
-            heads, text = text.count(b"\r\n\r\n"), text.rpartition(b"\r\n\r\n")[2]
+            received += data
+            heads, received = received.count(b"\r\n\r\n"), received.rpartition(b"\r\n\r\n")[2]
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi" * heads)
     except OSError:
         pass
 
 
-def through_a_front(entries: int, rate: float, seconds: float) -> list[str]:
-    """Latencies of reqs through a real front at ``rate`` a second, while it reads a version of so many
-    entries again and again, against none: machine, clients and front share this process."""
+def latency_rows(entries: int, rate: float, seconds: float) -> list[str]:
+    """Rows on the latencies of ``rate`` requests a second through a real front while it reads a version of so
+    many entries again and again, compared with those while it reads none. Server, clients and front share
+    this process."""
     from myrtleroad.net import front, node_config, operator_limits
 
-    machine = server.StreamServer(("127.0.0.1", 0), lambda sock, _: answers(sock))
-    machine.start()
-    config = small_config(machine.address)
+    upstream = server.StreamServer(("127.0.0.1", 0), lambda sock, _: serve_connection(sock))
+    upstream.start()
+    config = small_config(upstream.address)
     program = front.Front(
         node_config.decode_node_config(orjson.dumps(config)), os.open(os.devnull, os.O_WRONLY)
     )
-    holder = operator_limits.OperatorLimits(
+    limits = operator_limits.OperatorLimits(
         program.node_config, program.clock, program.dispatcher, program.discovery, program.client_listener
     )
-    versions = holder.config_versions(("127.0.0.1", 9), program.counters, program.log)
+    versions = limits.config_versions(("127.0.0.1", 9), program.counters, program.log)
     running = gevent.spawn(program.run)
-    data = text(1, entries)
-    at = program.client_listener.sock.getsockname()
-    socks: list[socket.socket] = []
+    text = version_text(1, entries)
+    address = program.client_listener.sock.getsockname()
+    idle_sockets: list[socket.socket] = []
 
-    def one(number: int, times: list[float]) -> None:
+    def send_request(number: int, latencies_s: list[float]) -> None:
         begin = time.perf_counter()
-        for sock in (socks.pop() if socks else None, None):
-            try:  # a front closes what has been idle for long: then once more on a new connection
-                sock = sock or socket.create_connection(at)
-                sock.sendall(REQ % number)
+        for sock in (idle_sockets.pop() if idle_sockets else None, None):
+            try:  # the front closes idle connections; the request is then sent once more on a new one
+                sock = sock or socket.create_connection(address)
+                sock.sendall(REQUEST_HEAD % number)
                 if sock.recv(4096).startswith(b"HTTP/1.1 200"):
-                    times.append(time.perf_counter() - begin)
-                    socks.append(sock)
+                    latencies_s.append(time.perf_counter() - begin)
+                    idle_sockets.append(sock)
                     return
             except OSError:
                 continue
 
-    def load() -> list[float]:
-        times: list[float] = []
+    def run_load() -> list[float]:
+        latencies_s: list[float] = []
         begin, sent = time.perf_counter(), 0
         while (now := time.perf_counter() - begin) < seconds:
             while sent < now * rate:
                 sent += 1
-                gevent.spawn(one, load.number, times)
-                load.number += 1
+                gevent.spawn(send_request, run_load.request_number, latencies_s)
+                run_load.request_number += 1
             gevent.sleep(0.001)
         gevent.sleep(0.2)
-        return sorted(times)
+        return sorted(latencies_s)
 
-    def offered(read: Callable[[], None]) -> list[float]:
-        def again() -> None:
+    def run_load_during(read: Callable[[], None]) -> list[float]:
+        def read_repeatedly() -> None:
             while True:
                 read()
                 gevent.sleep(0.3)
 
-        worker = gevent.spawn(again)
-        times = load()
+        worker = gevent.spawn(read_repeatedly)
+        latencies_s = run_load()
         worker.kill()
-        return times
-
-    load.number = 0
-    load()  # warms connections up
-    offer = Offer(0, 1, VersionId(1, 1), "", None, {"text": data})
-    none = load()
-    slices = offered(lambda: versions.check(offer))
-    whole = offered(lambda: version.read(data.encode(), TOLD))
+        return latencies_s
+
+    run_load.request_number = 0
+    run_load()  # opens connections
+    offer = Offer(0, 1, VersionId(1, 1), "", None, {"text": text})
+    none = run_load()
+    slices = run_load_during(lambda: versions.check(offer))
+    whole = run_load_during(lambda: version.read(text.encode(), FRONT_LIMITS))
     running.kill()
-    machine.stop()
-    p99 = lambda times: times[int(0.99 * (len(times) - 1))]  # noqa: E731
+    upstream.stop()
+    p99 = lambda latencies_s: latencies_s[int(0.99 * (len(latencies_s) - 1))]  # noqa: E731
     return [
         f"| 99% of latencies, read in slices against none | {p99(slices) / p99(none):.1f} |",
         f"| 99% of latencies, read in one go against none | {p99(whole) / p99(none):.1f} |",
@@ -166,17 +172,17 @@
     ]
 
 
-REQ = b"GET /api HTTP/1.1\r\nHost: h\r\nX-Txn: v%d\r\nX-Lane: look\r\nX-Org: acme\r\n"
-REQ += b"X-Remaining-Ms: 1900\r\n\r\n"
+REQUEST_HEAD = b"GET /api HTTP/1.1\r\nHost: h\r\nX-Txn: v%d\r\nX-Lane: look\r\nX-Org: acme\r\n"
+REQUEST_HEAD += b"X-Remaining-Ms: 1900\r\n\r\n"
 
 
-def small_config(machine: tuple[str, int]) -> dict:
-    """A front's configuration with one machine and nobody to follow."""
-    second = 1_000_000_000
-    lane = {"name": "look", "effect": "repeatable", "on_time": second, "give_up": 2 * second}
-    row = {
+def small_config(server_address: tuple[str, int]) -> dict:
+    """A node configuration with one server; nothing listens at the addresses of discovery and platform."""
+    second_ns = 1_000_000_000
+    route = {"name": "look", "effect": "repeatable", "on_time": second_ns, "give_up": 2 * second_ns}
+    server_entry = {
         "instanceId": "s-1",
-        "hostPort": f"{machine[0]}:{machine[1]}",
+        "hostPort": f"{server_address[0]}:{server_address[1]}",
         "lifecycle": "in_service",
         "version_no": 1,
     }
@@ -190,80 +196,88 @@
             "address": "127.0.0.1:9",
             "news": {"Revision": 1, "Wave": 0, "State": "released", "MaxShare": 0.0, "AgeMs": 9000},
         },
-        "known": {"generation": 1, "reset": True, "instances": [row]},
+        "known": {"generation": 1, "reset": True, "instances": [server_entry]},
         "settings": {
             "balancers": 1,
             "zones": ["here"],
-            "lanes": [lane],
+            "lanes": [route],
             "tenants": [{"name": "acme", "share": 1.0, "quota_per_s": 1000.0}],
             "obligations": {
-                "drain_grace": second // 4,
-                "cold": 4 * second,
+                "drain_grace": second_ns // 4,
+                "cold": 4 * second_ns,
                 "cold_share": 0.3,
                 "overload_factor": 2.0,
-                "fall": 2 * second,
+                "fall": 2 * second_ns,
+            },
+            "specifics": {
+                "stage_cap": [0.1, 1.0],
+                "span": 2 * second_ns,
+                "answer_wait": second_ns,
+                "free": 1.0,
             },
-            "specifics": {"stage_cap": [0.1, 1.0], "span": 2 * second, "answer_wait": second, "free": 1.0},
             "limits": {
                 "max_attempts": 3,
                 "second_copies": True,
                 "retry_after": True,
-                "max_retry_after": second,
-                "connect_timeout": second // 4,
-                "idle_close": 15 * second,
+                "max_retry_after": second_ns,
+                "connect_timeout": second_ns // 4,
+                "idle_close": 15 * second_ns,
             },
         },
     }
 
 
-class Fronts:
-    """Many stand-ins that take whatever is offered, and count bytes."""
+class SimulatedFronts:
+    """Stand-ins for many fronts that accept every offer and count the bytes that they receive."""
 
     def __init__(self, service: ControlService, count: int):
-        self.bytes, self.held = 0, [0] * count
-        self.socks = [self.one(service, n) for n in range(count)]
+        self.received_bytes, self.held_numbers = 0, [0] * count
+        self.sockets = [self.connect(service, index) for index in range(count)]
 
-    def one(self, service: ControlService, n: int) -> socket.socket:
+    def connect(self, service: ControlService, index: int) -> socket.socket:
+        """Connects one front to the control service and starts to answer its frames."""
         sock = socket.create_connection(service.address)
         sock.sendall(
-            encode_frame("hello", name=f"n{n}", protocol=1, holds={"epoch": 0, "number": 0, "digest": ""})
+            encode_frame("hello", name=f"n{index}", protocol=1, holds={"epoch": 0, "number": 0, "digest": ""})
         )
-        gevent.spawn(self.run, sock, n)
+        gevent.spawn(self.answer_offers, sock, index)
         return sock
 
-    def run(self, sock: socket.socket, n: int) -> None:
+    def answer_offers(self, sock: socket.socket, index: int) -> None:
+        """Accepts each offer until the connection ends."""
         decoder = FrameDecoder()
         try:
             while data := sock.recv(1 << 16):
-                self.bytes += len(data)
+                self.received_bytes += len(data)
                 for frame in decoder.feed(data):
                     if frame.kind == "offer":
-                        f = {k: frame.fields[k] for k in ("nonce", "epoch", "number")}
-                        self.held[n] = f["number"]
-                        sock.sendall(encode_frame("answer", **f, acked=True, code="", text=""))
+                        offer = {key: frame.fields[key] for key in ("nonce", "epoch", "number")}
+                        self.held_numbers[index] = offer["number"]
+                        sock.sendall(encode_frame("answer", **offer, acked=True, code="", text=""))
                 gevent.sleep(0)
         except OSError:
             pass
 
 
-def spread(fronts: int, entries: int) -> list[str]:
+def distribution_rows(fronts: int, entries: int) -> list[str]:
+    """Rows on the cost of distributing a first version, compared with one that drops an entry from it."""
     with tempfile.TemporaryDirectory() as folder:
         service = ControlService(
             Folder(Path(folder)), RolloutPlan((1.0,), watch_ms=0.0), Clock(), lambda *a, **k: None
         )
         running = gevent.spawn(service.run)
-        many = Fronts(service, fronts)
+        simulated = SimulatedFronts(service, fronts)
         while len(service.streams) < fronts:
             gevent.sleep(0.005)
         costs = []
-        for number, body in ((1, text(1, entries)), (2, text(2, entries - 1))):
-            many.bytes, begin = 0, time.perf_counter()
-            service.mailbox.put(OperatorCall({"call": "publish", "text": body}, lambda reply: None))
-            while service.rollout.phase != VersionRolloutPhase.DONE or min(many.held) < number:
+        for number, text in ((1, version_text(1, entries)), (2, version_text(2, entries - 1))):
+            simulated.received_bytes, begin = 0, time.perf_counter()
+            service.mailbox.put(OperatorCall({"call": "publish", "text": text}, lambda reply: None))
+            while service.rollout.phase != VersionRolloutPhase.DONE or min(simulated.held_numbers) < number:
                 gevent.sleep(0.005)
-            costs.append((time.perf_counter() - begin, many.bytes))
+            costs.append((time.perf_counter() - begin, simulated.received_bytes))
         running.kill()
-        for sock in many.socks:
+        for sock in simulated.sockets:
             sock.close()
     (whole_s, whole_bytes), (delta_s, delta_bytes) = costs
     return [
@@ -272,24 +286,28 @@
     ]
 
 
-def memory(few: int, many: int) -> list[str]:
-    """A front's ledger and contents after many versions against after few."""
+def memory_rows(few: int, many: int) -> list[str]:
+    """The row on the memory of a front's ledger and versions after many versions, compared with after few."""
     sizes = []
     for count in (few, many):
         gc.collect()
         tracemalloc.start()
         ledger, contents = Ledger(), {}
         ledger.stream_opened(0)
-        base = version.read(text(1, 1000).encode()).entries
-        for n in range(1, count + 1):
-            entries = base.set(("trial", "most-share"), n / (2 * many))
-            offer = Offer(0, n, VersionId(1, n), content_digest(entries) if n < 50 else f"{n:032x}")
+        base = version.read(version_text(1, 1000).encode()).entries
+        for number in range(1, count + 1):
+            entries = base.set(("trial", "most-share"), number / (2 * many))
+            offer = Offer(
+                0, number, VersionId(1, number), content_digest(entries) if number < 50 else f"{number:032x}"
+            )
             if ledger.offer_received(offer) == [CheckOffer(offer)]:
-                ledger.check_finished(n, 0)
+                ledger.check_finished(number, 0)
                 contents[offer.version] = entries
-                ledger.apply_finished(offer.version, float(n))
+                ledger.apply_finished(offer.version, float(number))
                 held = (ledger.in_force.version, ledger.last_good.version)
-                contents = {name: c for name, c in contents.items() if name in held}
+                contents = {
+                    version_id: content for version_id, content in contents.items() if version_id in held
+                }
         gc.collect()
         sizes.append(tracemalloc.get_traced_memory()[0])
         tracemalloc.stop()
@@ -300,13 +318,13 @@
 def main() -> None:
     """Print the tables of docs/design/config.md."""
     click.echo("| a version of 10,000 entries read under wake-ups at 240 a second | |\n| --- | --- |")
-    click.echo("\n".join(reading(10_000)))
+    click.echo("\n".join(reading_rows(10_000)))
     click.echo("\n| reqs through a front at 240 a second | |\n| --- | --- |")
-    click.echo("\n".join(through_a_front(10_000, 240.0, 4.0)))
+    click.echo("\n".join(latency_rows(10_000, 240.0, 4.0)))
     click.echo("\n| spread | |\n| --- | --- |")
-    click.echo("\n".join(spread(200, 1000)))
+    click.echo("\n".join(distribution_rows(200, 1000)))
     click.echo("\n| memory | |\n| --- | --- |")
-    click.echo("\n".join(memory(100, 10_000)))
+    click.echo("\n".join(memory_rows(100, 10_000)))
 
 
 if __name__ == "__main__":
