--- a/myrtleroad/net/client_listener.py
+++ b/myrtleroad/net/client_listener.py
@@ -9,7 +9,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
 from myrtleroad.net import http1, response
 from myrtleroad.net.actor import report_fault
@@ -352,7 +352,10 @@
         return len(self.connections) > self.max_kept_alive
 
     def apply_limits(
-        self, settings: i.Settings, networks: "Networks | None", request_limits: "RequestLimits | None"
+        self,
+        settings: interface.Settings,
+        networks: "Networks | None",
+        request_limits: "RequestLimits | None",
     ) -> None:
         """Puts operators' limits into effect: for requests not yet received, and for addresses at once."""
         self.settings, self.networks = settings, networks
@@ -362,7 +365,7 @@
             self.request_limits = request_limits
 
     def check_limits(
-        self, connection: ClientConnection, request: i.Request, now: float
+        self, connection: ClientConnection, request: interface.Request, now: float
     ) -> response.Response | None:
         """Returns the response to a request that operators' limits rule out, or None."""
         if self.networks is not None and connection.peer_ip and not self.networks.admits(connection.peer_ip):
@@ -382,7 +385,7 @@
         return None
 
     def check_read_delay(
-        self, request: i.Request, message: http1.Message, read_delay_ms: float, now: float
+        self, request: interface.Request, message: http1.Message, read_delay_ms: float, now: float
     ) -> response.Response | None:
         """Returns the response to a request that waited unread for too long, or None. Nothing was sent to a
         server for such a request."""
@@ -499,7 +502,9 @@
         for connection in [c for c in self.connections if c.is_idle]:
             connection.close()
 
-    def parse_request(self, message: http1.Message, received_at: float) -> i.Request | response.Response:
+    def parse_request(
+        self, message: http1.Message, received_at: float
+    ) -> interface.Request | response.Response:
         """Returns the request that a message holds, or the response to a message that is not for the
         dispatcher. The request's deadline counts from ``received_at``."""
         path = message.target.partition(b"?")[0]
@@ -523,9 +528,9 @@
         ):
             return response.rejected(400)
         retry_safety = self.node_config.facts.routes[route].retry_safety
-        if retry_safety == i.RetrySafety.RETRIABLE and (message.method != b"GET" or message.body):
+        if retry_safety == interface.RetrySafety.RETRIABLE and (message.method != b"GET" or message.body):
             return response.rejected(400)
-        if retry_safety == i.RetrySafety.NON_RETRIABLE and message.method != b"POST":
+        if retry_safety == interface.RetrySafety.NON_RETRIABLE and message.method != b"POST":
             return response.rejected(400)
         self.last_request_id += 1
         is_repeat = message.header(b"x-resent") == b"1"
@@ -533,7 +538,9 @@
         if self.settings is not self.node_config.facts:
             # The operators' limit; the client's own timeout may be shorter.
             timeout_ms = min(timeout_ms, self.settings.routes[route].timeout_ms)
-        return i.Request(self.last_request_id, route, tenant, None, received_at + timeout_ms, 0.0, is_repeat)
+        return interface.Request(
+            self.last_request_id, route, tenant, None, received_at + timeout_ms, 0.0, is_repeat
+        )
 
     @staticmethod
     def is_valid_id(transaction_id: bytes) -> bool:
--- a/myrtleroad/net/discovery.py
+++ b/myrtleroad/net/discovery.py
@@ -7,7 +7,7 @@
 import gevent
 from gevent import socket
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.membership.call_backoff import CallBackoff, FollowerSettings, ServiceKind
 from myrtleroad.membership.lease import LeaseTerms, ListLease
 from myrtleroad.membership.server_list import ListChange, ListMessage, Restriction, ServerList
@@ -32,9 +32,9 @@
 FETCH_TIMEOUT_S = 2.5
 LIST_KEY = b'"generation"'  # a key of every list and of no server entry
 RANKS = {
-    i.ServerStatus.IN_SERVICE: Restriction.NONE,
-    i.ServerStatus.DRAINING: Restriction.DRAINING,
-    i.ServerStatus.GONE: Restriction.GONE,
+    interface.ServerStatus.IN_SERVICE: Restriction.NONE,
+    interface.ServerStatus.DRAINING: Restriction.DRAINING,
+    interface.ServerStatus.GONE: Restriction.GONE,
 }
 
 
@@ -115,7 +115,7 @@
         if object_text is None:
             return
         message = self.decode_list(object_text, self.sources[stream.number])
-        watched = stream.has_delivered and self.stream_follower.freshness is i.ListFreshness.FRESH
+        watched = stream.has_delivered and self.stream_follower.freshness is interface.ListFreshness.FRESH
         change = self.server_list.apply_message(message, self.stream_follower.is_sole_source(stream.number))
         if message.source == self.server_list.source:
             self.received(stream, version=message.version, entries=len(message.entries))
@@ -138,7 +138,7 @@
 
     def freshness_changed(self, action: FreshnessChanged) -> None:
         super().freshness_changed(action)
-        self.deliver(i.ListFreshnessChanged(action.freshness, action.confirmed_at))
+        self.deliver(interface.ListFreshnessChanged(action.freshness, action.confirmed_at))
 
     def apply_change(self, change: ListChange[ListedServer] | None, watched: bool = False) -> None:
         """Deliver the changes of a list to the module, and request the whole list if the change requires
@@ -150,7 +150,7 @@
             # Guards against sending requests to a server whose latest entry could not be decoded.
             servers.append(self.server_list.entries[server_id].as_draining())
         if change.whole or servers:
-            kind = i.ListKind.WHOLE if change.whole else i.ListKind.CHANGES
+            kind = interface.ListKind.WHOLE if change.whole else interface.ListKind.CHANGES
             self.deliver(ServerListing(self.server_list.version, kind, servers, watched and not change.whole))
             by_status = Counter(server.entry.status.name.lower() for server in servers)
             self.log("list applied", version=self.server_list.version, whole=change.whole, **by_status)
--- a/myrtleroad/net/dispatcher.py
+++ b/myrtleroad/net/dispatcher.py
@@ -9,7 +9,7 @@
 import gevent
 from gevent.queue import Empty, SimpleQueue
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
 from myrtleroad.admission.request_accounting import unaccounted_requests
 from myrtleroad.net import response
@@ -39,7 +39,7 @@
 RESERVED_DESCRIPTORS = 24
 # requests in progress on one server: a load report above it, or not a number, is ignored
 MAX_REPORTED_LOAD = 1e6
-IN_SERVICE = i.ServerStatus.IN_SERVICE
+IN_SERVICE = interface.ServerStatus.IN_SERVICE
 WAKE_MAILBOX = None  # mailbox entry without content: something waits in the priority queue
 DEADLINE_SLACK_MS = 50.0  # tolerance of the protocol on every time limit measured on sockets
 YIELD_AFTER_MS = 50.0  # half a timer tick; after it other greenlets run, as a full mailbox alone never yields
@@ -70,7 +70,7 @@
 class RequestReceived:
     """A client's request, whole and valid."""
 
-    request: i.Request
+    request: interface.Request
     message: Message
     received_at: float
     respond: Callable[[response.Response], None]
@@ -130,7 +130,7 @@
         # called after a stage update has reached the module
         self.on_stage_update: Callable[[], None] = lambda: None
         self.list_age: Callable[[float], float] = lambda now: 0.0
-        self.cast_vote: Callable[[i.Vote], None] = lambda action: None
+        self.cast_vote: Callable[[interface.Vote], None] = lambda action: None
         self.overdue_warnings, self.late_warnings = RateLimitedWarnings(log), RateLimitedWarnings(log, 1)
         self.admission = AdmissionControl(r.objective_ms for r in node_config.facts.routes)
         self.delay_ms = 0.0  # ms by which the last message or timer was processed late
@@ -251,11 +251,11 @@
             case ServerListing():
                 self.counters.add("lists")
                 self.contained("list", self.apply_listing, message, now)
-            case i.SettingsNarrowed():
+            case interface.SettingsNarrowed():
                 self.contained("narrowed", self.balancer.narrow_settings, message, now)
-            case i.ListFreshnessChanged():
+            case interface.ListFreshnessChanged():
                 self.counters.add(f"list_{message.freshness.name.lower()}")
-            case i.StageUpdate():
+            case interface.StageUpdate():
                 self.counters.add("stage_news")
                 self.contained("news", self.apply_stage_update, message, now)
 
@@ -282,10 +282,10 @@
             )
             self.late_warnings("behind", now, what=counter, lag_ms=round(delay_ms, 1), **state)
 
-    def apply_stage_update(self, update: i.StageUpdate, now: float) -> None:
+    def apply_stage_update(self, update: interface.StageUpdate, now: float) -> None:
         """Pass a stage update to the module, and log the stage if it is a new one."""
         stage = (update.build, update.stage, update.phase.name, update.cap)
-        if update.outcome == i.Outcome.COMPLETED and stage != self.logged_stage:
+        if update.outcome == interface.Outcome.COMPLETED and stage != self.logged_stage:
             self.logged_stage = stage
             self.log("stage", build=update.build, stage=update.stage, phase=update.phase.name, cap=update.cap)
         self.execute_actions(self.balancer.update_stage(update, now), now)
@@ -323,10 +323,10 @@
         job = message.job
         self.release_id(job.message)
         open_request = self.open_requests.get(job.request_id)
-        done = message.outcome == i.Outcome.COMPLETED
+        done = message.outcome == interface.Outcome.COMPLETED
         load = self.load_report(message)
         finished, connected_at = open_request is None or done, message.connected_at
-        ended = i.AttemptEnded(
+        ended = interface.AttemptEnded(
             job.server, job.attempt_number, message.outcome, message.duration_ms, load, finished, connected_at
         )
         self.contained("try ended", self.balancer.record_outcome, job.request_id, ended, now)
@@ -350,7 +350,7 @@
             return None
         return reported_load(message.result.header(b"x-pressure"))
 
-    def resume(self, open_request: OpenRequest, ended: i.AttemptEnded | None, now: float) -> None:
+    def resume(self, open_request: OpenRequest, ended: interface.AttemptEnded | None, now: float) -> None:
         """Resume a request's coroutine, execute its actions and start the timer of its next wait."""
         try:
             for action in open_request.coroutine.resume(ended, now):
@@ -368,22 +368,22 @@
                 open_request.coroutine.wait_number,
             )
 
-    def execute(self, open_request: OpenRequest, action: i.Action, now: float) -> None:
+    def execute(self, open_request: OpenRequest, action: interface.Action, now: float) -> None:
         """Execute one action of a request."""
         match action:
-            case i.SendAttempt():
+            case interface.SendAttempt():
                 self.start_attempt(open_request, action, now)
-            case i.Shed():
+            case interface.Shed():
                 self.respond(open_request, response.shed(action.retry_after_ms))
-            case i.Fail():
+            case interface.Fail():
                 self.respond(open_request, response.bad_gateway())
-            case i.CancelAttempt():
+            case interface.CancelAttempt():
                 if server := self.servers.get(open_request.attempt_servers[action.attempt_number]):
                     server.mailbox.put(StopAttempt(open_request.coroutine.request_id, action.attempt_number))
             case _:
                 raise TypeError(f"not an action of a request: {action!r}")
 
-    def start_attempt(self, open_request: OpenRequest, action: i.SendAttempt, now: float) -> None:
+    def start_attempt(self, open_request: OpenRequest, action: interface.SendAttempt, now: float) -> None:
         """Hand an attempt to its server's actor, with the preconditions of the decision."""
         entry = self.balancer.servers[action.server].entry
         deadline = min(now + action.timeout_ms, open_request.received.request.deadline)
@@ -469,17 +469,17 @@
         )
         self.overdue_warnings("answer overdue", now, **fields, **times)
 
-    def execute_actions(self, actions: Iterable[i.Action], now: float) -> None:
+    def execute_actions(self, actions: Iterable[interface.Action], now: float) -> None:
         """Execute actions of the module that belong to no request."""
         for action in actions:
             match action:
-                case i.WakeAt(at):
+                case interface.WakeAt(at):
                     self.set_timer(at, DECISION_WAKEUP, 0)
-                case i.Vote():
+                case interface.Vote():
                     self.counters.add("votes")
                     self.log("vote", build=action.build, verdict=action.verdict.name, stage=action.stage)
                     self.cast_vote(action)
-                case i.LogMessage(text):
+                case interface.LogMessage(text):
                     self.log("note", text=text)
                 case _:
                     raise TypeError(f"not executed by the dispatcher: {action!r}")
@@ -525,7 +525,7 @@
             for server in listing.servers
         ]
         self.execute_actions(
-            self.balancer.update_server_list(i.ServerListUpdate(listing.kind, entries), now), now
+            self.balancer.update_server_list(interface.ServerListUpdate(listing.kind, entries), now), now
         )
         for number in [number for number in self.servers if number not in self.balancer.servers]:
             self.servers.pop(number).mailbox.put(ServerRemoved())
--- a/myrtleroad/net/exchange_result.py
+++ b/myrtleroad/net/exchange_result.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 
 
 class ExchangeProgress(IntEnum):
@@ -51,19 +51,19 @@
         return next((value for key, value in self.headers if key.lower() == name), None)
 
 
-def outcome_of_attempt(result: UpstreamResponse | ExchangeFailure) -> i.Outcome:
+def outcome_of_attempt(result: UpstreamResponse | ExchangeFailure) -> interface.Outcome:
     """Returns the outcome that an attempt's result stands for. Only the outcomes in
     ``interface.NOT_EXECUTED`` mean that the server cannot have executed the request."""
     if isinstance(result, UpstreamResponse):
         if result.status == 200:
-            return i.Outcome.COMPLETED
+            return interface.Outcome.COMPLETED
         is_shed = result.status in (503, 504) and result.header(b"x-turned-away") == b"1"
-        return i.Outcome.FULL if is_shed else i.Outcome.ERRORED
+        return interface.Outcome.FULL if is_shed else interface.Outcome.ERRORED
     if result.cause in (FailureCause.WITHDRAWN, FailureCause.OVERDUE, FailureCause.SHORT):
-        return i.Outcome.MOOT  # never written, and not because of the server
+        return interface.Outcome.MOOT  # never written, and not because of the server
     if result.progress < ExchangeProgress.WRITTEN:
         # A server executes a request only after its last byte has arrived, and that byte was not written.
-        return i.Outcome.NOT_CONNECTED
+        return interface.Outcome.NOT_CONNECTED
     if result.cause == FailureCause.TIMEOUT:
-        return i.Outcome.TIMEOUT
-    return i.Outcome.CANCELLED if result.cause == FailureCause.CANCELLED else i.Outcome.RESET
+        return interface.Outcome.TIMEOUT
+    return interface.Outcome.CANCELLED if result.cause == FailureCause.CANCELLED else interface.Outcome.RESET
--- a/myrtleroad/net/node_config.py
+++ b/myrtleroad/net/node_config.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.settings import decode_settings, ns_to_ms
 
 if TYPE_CHECKING:
@@ -16,15 +16,15 @@
 
 Address = tuple[str, int]
 PHASES = {
-    "trial": i.RolloutPhase.ON_TRIAL,
-    "rolling_back": i.RolloutPhase.GOING_BACK,
-    "released": i.RolloutPhase.RELEASED,
-    "withdrawn": i.RolloutPhase.WITHDRAWN,
+    "trial": interface.RolloutPhase.ON_TRIAL,
+    "rolling_back": interface.RolloutPhase.GOING_BACK,
+    "released": interface.RolloutPhase.RELEASED,
+    "withdrawn": interface.RolloutPhase.WITHDRAWN,
 }
 STATUSES = {
-    "in_service": i.ServerStatus.IN_SERVICE,
-    "terminating": i.ServerStatus.DRAINING,
-    "terminated": i.ServerStatus.GONE,
+    "in_service": interface.ServerStatus.IN_SERVICE,
+    "terminating": interface.ServerStatus.DRAINING,
+    "terminated": interface.ServerStatus.GONE,
 }
 
 
@@ -42,11 +42,13 @@
 
     server_id: str
     address: Address
-    entry: i.ServerEntry
+    entry: interface.ServerEntry
 
     def as_draining(self) -> "ListedServer":
         """The same server with the status draining."""
-        return ListedServer(self.server_id, self.address, replace(self.entry, status=i.ServerStatus.DRAINING))
+        return ListedServer(
+            self.server_id, self.address, replace(self.entry, status=interface.ServerStatus.DRAINING)
+        )
 
 
 @dataclass(slots=True)
@@ -54,7 +56,7 @@
     """A server list, or changes to one, in discovery's order."""
 
     version: int
-    kind: i.ListKind
+    kind: interface.ListKind
     servers: list[ListedServer]
     # changes received as they happened, on a watch that was followed without interruption
     watched: bool = False
@@ -77,8 +79,8 @@
     platform: Address
     seed: int
     sockets: int
-    facts: i.Settings
-    initial_stage: i.StageUpdate
+    facts: interface.Settings
+    initial_stage: interface.StageUpdate
     initial_list: ServerListing
     routes: dict[bytes, int]
     tenants: dict[bytes, int]
@@ -105,7 +107,7 @@
             max_attempts=self.facts.max_attempts,
             caps=self.facts.rollout.stage_caps,
             cap=self.initial_stage.cap
-            if cap is None and self.initial_stage.phase == i.RolloutPhase.ON_TRIAL
+            if cap is None and self.initial_stage.phase == interface.RolloutPhase.ON_TRIAL
             else cap,
             control_host=control,
         )
@@ -146,7 +148,7 @@
     return ListedServer(
         server_id=str(fields["instanceId"]),
         address=parse_address(fields["hostPort"]),
-        entry=i.ServerEntry(
+        entry=interface.ServerEntry(
             server=-1,
             status=STATUSES[fields["lifecycle"]],
             build=non_negative_int(fields.get("version_no") or 0),
@@ -181,7 +183,7 @@
 
 def server_listing(data: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]) -> ServerListing:
     """Decode a list in discovery's format in which every entry must be valid: the initial ``known`` list."""
-    kind = i.ListKind.WHOLE if data["reset"] else i.ListKind.CHANGES
+    kind = interface.ListKind.WHOLE if data["reset"] else interface.ListKind.CHANGES
     return ServerListing(
         non_negative_int(data["generation"]),
         kind,
@@ -189,10 +191,10 @@
     )
 
 
-def stage_update(fields: dict[str, Any], answers_vote: bool = False) -> i.StageUpdate:
+def stage_update(fields: dict[str, Any], answers_vote: bool = False) -> interface.StageUpdate:
     """The state of the newest build, from the initial stage, a stage update or the response to a vote."""
-    return i.StageUpdate(
-        outcome=i.Outcome.COMPLETED,
+    return interface.StageUpdate(
+        outcome=interface.Outcome.COMPLETED,
         answers_vote=answers_vote,
         build=non_negative_int(fields["Revision"]),
         stage=non_negative_int(fields["Wave"]),
@@ -210,7 +212,7 @@
         zones = {name: number for number, name in enumerate(settings_data.get("zones", ()))}
         kinds = {name: number for number, name in enumerate(settings_data.get("kinds", ()))}
         known = server_listing(data["known"], zones, kinds)
-        known.kind = i.ListKind.REMEMBERED
+        known.kind = interface.ListKind.REMEMBERED
         return NodeConfig(
             name=data["name"],
             listen=parse_address(data["listen"]),
--- a/myrtleroad/net/operator_limits.py
+++ b/myrtleroad/net/operator_limits.py
@@ -3,7 +3,7 @@
 
 from collections.abc import Callable
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.config import rules
 from myrtleroad.config.entries import NO_ENTRIES
 from myrtleroad.config.narrowing import narrowed_settings
@@ -51,7 +51,7 @@
     def trial_cap(self) -> float | None:
         """The latest cap of the build on trial, None without one."""
         update = self.dispatcher.balancer.stage_update
-        return update.cap if update.phase == i.RolloutPhase.ON_TRIAL else None
+        return update.cap if update.phase == interface.RolloutPhase.ON_TRIAL else None
 
     def apply(self, limits: rules.EffectiveLimits | None) -> None:
         """Put limits in force; None removes all of them."""
@@ -66,7 +66,7 @@
         changed = (effective.drained_servers, zones) != self.dispatcher.out_of_service
         listing = ServerListing(
             self.discovery.server_list.version,
-            i.ListKind.CHANGES,
+            interface.ListKind.CHANGES,
             list(self.discovery.server_list.entries.values()),
         )
         # From here on nothing can fail.
--- a/myrtleroad/net/platform.py
+++ b/myrtleroad/net/platform.py
@@ -8,7 +8,7 @@
 from gevent import socket
 from gevent.queue import SimpleQueue
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.net import http1
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.discovery import follower_settings
@@ -21,32 +21,34 @@
 # event types; this deployment sends only the first
 EVENT_TYPES = (b"progress", b"metrics", b"complaint")
 VERDICTS = {
-    i.Verdict.NONE: "clear",
-    i.Verdict.ON: "approve",
-    i.Verdict.HOLD: "wait",
-    i.Verdict.BACK: "reject",
+    interface.Verdict.NONE: "clear",
+    interface.Verdict.ON: "approve",
+    interface.Verdict.HOLD: "wait",
+    interface.Verdict.BACK: "reject",
 }
 # responses with these statuses and codes mean that the vote was not executed
 ERROR_OUTCOMES = {
-    (400, "throttled"): i.Outcome.FULL,
-    (400, "conflict"): i.Outcome.MOOT,
-    (400, "invalid"): i.Outcome.ERRORED,
-    (500, "internal"): i.Outcome.ERRORED,
+    (400, "throttled"): interface.Outcome.FULL,
+    (400, "conflict"): interface.Outcome.MOOT,
+    (400, "invalid"): interface.Outcome.ERRORED,
+    (500, "internal"): interface.Outcome.ERRORED,
 }
 
 
-def unanswered_vote(outcome: i.Outcome) -> i.StageUpdate:
+def unanswered_vote(outcome: interface.Outcome) -> interface.StageUpdate:
     """The result of a vote whose response carries no stage."""
-    return i.StageUpdate(outcome, True, 0, 0, i.RolloutPhase.ON_TRIAL, 0.0, 0.0)
+    return interface.StageUpdate(outcome, True, 0, 0, interface.RolloutPhase.ON_TRIAL, 0.0, 0.0)
 
 
-def vote_result(result: UpstreamResponse | ExchangeFailure) -> i.StageUpdate:
+def vote_result(result: UpstreamResponse | ExchangeFailure) -> interface.StageUpdate:
     """The outcome of a vote and the stage in the response. An unreadable response may belong to an executed
     vote."""
     if isinstance(result, ExchangeFailure):
         # Not executed if its last byte was not written: the same as an error of the platform.
         return unanswered_vote(
-            i.Outcome.ERRORED if result.progress < ExchangeProgress.WRITTEN else i.Outcome.TIMEOUT
+            interface.Outcome.ERRORED
+            if result.progress < ExchangeProgress.WRITTEN
+            else interface.Outcome.TIMEOUT
         )
     try:
         root = ET.fromstring(b"".join(result.body))
@@ -56,9 +58,9 @@
         # The protocol specifies a bare error; a platform that wraps responses in a Response puts it inside.
         error = root if root.tag == "Error" else root.find(".//Error")
         code = error.findtext("Code", "") if error is not None else ""
-        return unanswered_vote(ERROR_OUTCOMES.get((result.status, code), i.Outcome.TIMEOUT))
+        return unanswered_vote(ERROR_OUTCOMES.get((result.status, code), interface.Outcome.TIMEOUT))
     except (ET.ParseError, *DECODE_ERRORS):
-        return unanswered_vote(i.Outcome.TIMEOUT)
+        return unanswered_vote(interface.Outcome.TIMEOUT)
 
 
 def describe_result(result: UpstreamResponse | ExchangeFailure) -> str:
@@ -132,13 +134,13 @@
                 continue
             result = self.cast(message)
             update = vote_result(result)
-            if update.outcome == i.Outcome.TIMEOUT:
+            if update.outcome == interface.Outcome.TIMEOUT:
                 self.log("vote unclear", level="warning", what=describe_result(result))
             self.counters.add(f"votes_{update.outcome.name.lower()}")
             self.log("vote answered", end=update.outcome.name, build=update.build, stage=update.stage)
             self.deliver(update)
 
-    def cast(self, vote: i.Vote) -> UpstreamResponse | ExchangeFailure:
+    def cast(self, vote: interface.Vote) -> UpstreamResponse | ExchangeFailure:
         """Cast one vote on a new connection. Votes are rare, and the platform closes idle connections at any
         time, which would leave the result of a vote written to one unknown."""
         fields = {
--- a/myrtleroad/net/response.py
+++ b/myrtleroad/net/response.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.net.exchange_result import UpstreamResponse
 from myrtleroad.net.http1 import CONTENT_LENGTH, HOP_BY_HOP
 
@@ -53,7 +53,7 @@
     return Response("shed", 503, header_lines, [])
 
 
-def overloaded(settings: i.Settings) -> Response:
+def overloaded(settings: interface.Settings) -> Response:
     """Returns the response to a request that waited too long and was not sent to any server. Retry-After has
     the largest value allowed: this front is overloaded, however loaded the servers are."""
     return shed(settings.max_retry_after_ms if settings.retry_after_allowed else 0.0)
--- a/myrtleroad/net/upstream_server.py
+++ b/myrtleroad/net/upstream_server.py
@@ -8,7 +8,7 @@
 from gevent import socket
 from gevent.queue import Empty, SimpleQueue
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.net import http1
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.connecting import connect
@@ -67,7 +67,7 @@
     """The result of an attempt; ``duration_ms`` runs from the module's decision."""
 
     job: AttemptJob
-    outcome: i.Outcome
+    outcome: interface.Outcome
     duration_ms: float
     result: UpstreamResponse | ExchangeFailure
     connected_at: float = float("inf")  # when the connection was established; inf without one
@@ -193,7 +193,7 @@
             # Guards against an attempt that was never started and never ends; the exception is reported as
             # any other.
             self.counters.add("tries_moot")
-            self.deliver(AttemptResult(job, i.Outcome.MOOT, self.clock() - job.decided_at, NOT_SENT))
+            self.deliver(AttemptResult(job, interface.Outcome.MOOT, self.clock() - job.decided_at, NOT_SENT))
             raise
 
     def take_idle(self) -> Connection | None:
--- a/myrtleroad/policy/balancer.py
+++ b/myrtleroad/policy/balancer.py
@@ -12,7 +12,7 @@
 from math import sqrt
 from random import Random
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.interface import Outcome, RetrySafety, RolloutPhase, ServerStatus, Verdict
 from myrtleroad.membership.lease import ListLease
 from myrtleroad.membership.start_clock import StartClock
@@ -25,12 +25,14 @@
 
     TICK_MS = 100.0  # between two looks at the stage; short compared with every stage duration
 
-    def __init__(self, settings: i.Settings, seed: int, now: float):
+    def __init__(self, settings: interface.Settings, seed: int, now: float):
         self.settings, self.random = settings, Random(seed).random
         self.servers: dict[int, Server] = {}  # servers are removed as the list drops them
         self.pools: dict[bool, list[Server]] = {False: [], True: []}  # in service; key True: build on trial
         self.trial_test = TrialTest(settings)
-        self.stage_update = i.StageUpdate(Outcome.COMPLETED, False, 0, 0, RolloutPhase.RELEASED, 0.0, 0.0)
+        self.stage_update = interface.StageUpdate(
+            Outcome.COMPLETED, False, 0, 0, RolloutPhase.RELEASED, 0.0, 0.0
+        )
         # The stage is an estimate that may run ahead of the platform's; the cap is the last one received.
         self.stage, self.stage_started_at = 0, now
         # Mean of duration over objective by route, without servers of a build on trial.
@@ -50,7 +52,7 @@
             self.is_shedding,
         ) = 0.0, 0.0, now, -1e9, False
         self.last_vote, self.last_vote_at, self.vote_accepted, self.next_call_at = (
-            i.Vote(-1, Verdict.NONE, 0),
+            interface.Vote(-1, Verdict.NONE, 0),
             -1e9,
             False,
             0.0,
@@ -80,9 +82,9 @@
         # Keys that the trial build has answered; cleared for a new build and when the build goes back.
         self.trial_answered_keys: set[str] = set()
 
-    def update_server_list(self, event: i.ServerListUpdate, now: float) -> list[i.Action]:
+    def update_server_list(self, event: interface.ServerListUpdate, now: float) -> list[interface.Action]:
         """Apply a server list or changes to it."""
-        if event.kind != i.ListKind.CHANGES:
+        if event.kind != interface.ListKind.CHANGES:
             for index in self.servers.keys() - {entry.server for entry in event.entries}:
                 self.servers[index].entry.status = ServerStatus.GONE
         for entry in event.entries:
@@ -107,7 +109,7 @@
         self.rebuild_pools()
         return []
 
-    def narrow_settings(self, event: i.SettingsNarrowed, now: float) -> None:
+    def narrow_settings(self, event: interface.SettingsNarrowed, now: float) -> None:
         """Apply operators' limits to requests that arrive from now on. A lower share of the trial also holds
         for attempts that are not sent yet."""
         self.settings, self.max_trial_share = event.settings, event.max_trial_share
@@ -133,11 +135,11 @@
         self.mean_size = sum(map(self.size, live)) / max(1, len(live))
         self.in_flight = sum(len(s.in_flight) for s in self.servers.values() if not self.is_isolated(s))
 
-    def update_stage(self, event: i.StageUpdate, now: float) -> list[i.Action]:
+    def update_stage(self, event: interface.StageUpdate, now: float) -> list[interface.Action]:
         """Apply a stage update, or the response to a vote."""
         if event.answers_vote:
             self.vote_accepted = event.outcome in (Outcome.COMPLETED, Outcome.TIMEOUT)  # a timeout may count
-            if event.outcome == Outcome.MOOT and self.last_vote == i.Vote(
+            if event.outcome == Outcome.MOOT and self.last_vote == interface.Vote(
                 self.stage_update.build, Verdict.ON, self.stage
             ):
                 # Covers a stage update that is late: the stage known here is over, and it has lasted for its
@@ -178,7 +180,7 @@
         cap = self.stage_update.cap if self.stage_update.phase == RolloutPhase.ON_TRIAL else 0.0
         return min(cap, self.max_trial_share), self.stage_update.stage
 
-    def has_exposure_room(self, request: i.Request, build: int, now: float) -> bool:
+    def has_exposure_room(self, request: interface.Request, build: int, now: float) -> bool:
         """Whether the cap allows one more attempt on the trial build."""
         rollout = self.settings.rollout
         cap, stage = self.exposure_cap(build)
@@ -199,9 +201,9 @@
                 while times and times[0] < now - self.settings.rollout.exposure_window_ms - edge_ms:
                     times.popleft()
 
-    def wake(self, now: float) -> list[i.Action]:
+    def wake(self, now: float) -> list[interface.Action]:
         """Periodic work of a tick: limits, trial credit, the vote on the stage."""
-        actions: list[i.Action] = [i.WakeAt(now + self.TICK_MS)]
+        actions: list[interface.Action] = [interface.WakeAt(now + self.TICK_MS)]
         self.prune_windows(now)
         if now - self.rate_updated_at >= 1000:
             self.update_rates(now)
@@ -214,7 +216,7 @@
                 self.count_ejected(self.servers.values(), now),
             )
             actions.append(
-                i.LogMessage(
+                interface.LogMessage(
                     f"refusing {change}: open limit {self.in_flight_limit:.1f}, {ejected} machines rest"
                 )
             )
@@ -232,25 +234,27 @@
         verdict, reason = self.trial_test.decide(self.stage, age_ms, released, overloaded)
         if reason:
             actions.append(
-                i.LogMessage(f"build {update.build} stage {self.stage}: {verdict.name} ({reason})")
+                interface.LogMessage(f"build {update.build} stage {self.stage}: {verdict.name} ({reason})")
             )
         # This mode takes votes to hold and to roll back, the others take votes to advance and to roll back.
-        by_clock = self.settings.rollout.vote_mode == i.VoteMode.CLOCK
+        by_clock = self.settings.rollout.vote_mode == interface.VoteMode.CLOCK
         if verdict in (Verdict.BACK, Verdict.HOLD if by_clock else Verdict.ON):
-            actions += self.cast_vote(i.Vote(update.build, verdict, self.stage), now)
+            actions += self.cast_vote(interface.Vote(update.build, verdict, self.stage), now)
         return actions
 
-    def log_lease_change(self, now: float) -> list[i.Action]:
+    def log_lease_change(self, now: float) -> list[interface.Action]:
         """A log message if the lease on the server list has expired or become valid again."""
         valid = self.lease is None or self.lease.is_valid(now)
         if valid == self.lease_logged_valid:
             return []
         self.lease_logged_valid = valid
         if valid:
-            return [i.LogMessage("list lease holds again")]
+            return [interface.LogMessage("list lease holds again")]
         shown = sum(self.may_send_to(s, now) for s in self.servers.values())
         return [
-            i.LogMessage(f"list lease expired: {shown} of {len(self.servers)} servers have shown they serve")
+            interface.LogMessage(
+                f"list lease expired: {shown} of {len(self.servers)} servers have shown they serve"
+            )
         ]
 
     def trial_stage_age_ms(self, now: float) -> float:
@@ -262,7 +266,7 @@
             else self.stage_started_at + 8000.0
         )
 
-    def cast_vote(self, vote: i.Vote, now: float) -> list[i.Action]:
+    def cast_vote(self, vote: interface.Vote, now: float) -> list[interface.Action]:
         """The vote, unless it stands already or calls to the platform have to wait."""
         renew_after_ms = 0.7 * self.settings.rollout.vote_lifetime_ms
         # A vote to roll back does not wait for this front's turn; turns are spaced by the number of fronts.
@@ -355,7 +359,7 @@
         )
         return drawn and server.ejected_until <= now
 
-    def record_outcome(self, request_id: int, ended: i.AttemptEnded, now: float) -> None:
+    def record_outcome(self, request_id: int, ended: interface.AttemptEnded, now: float) -> None:
         """Record the end of an attempt: load, latency, failures, ejection and samples for the trial."""
         server = self.servers.get(ended.server)
         attempt = server.in_flight.pop((request_id, ended.attempt_number), None) if server else None
@@ -431,12 +435,12 @@
                 now,
             )
 
-    def record_counts(self, event: i.AttemptCounts, now: float) -> None:
+    def record_counts(self, event: interface.AttemptCounts, now: float) -> None:
         """Record the platform's counts of attempts."""
         if event.attempts > 0:
             self.trial_test.add_counts(event)
 
-    def record_bad_response(self, event: i.BadResponseReported, now: float) -> None:
+    def record_bad_response(self, event: interface.BadResponseReported, now: float) -> None:
         """Record a response that was reported as bad as a failed attempt."""
         if server := self.servers.get(event.server):
             score, on_trial = (
@@ -508,7 +512,7 @@
     SAMPLE_SIZE = 12
 
     def best_server(
-        self, on_trial: bool, request: i.Request, now: float, past: PastAttempts
+        self, on_trial: bool, request: interface.Request, now: float, past: PastAttempts
     ) -> Server | None:
         """The best server of a sample of a pool; of the whole pool, with ejected servers and those of earlier
         attempts, if the sample has none that may get the attempt."""
@@ -535,7 +539,7 @@
             return False
         return self.lease is None or self.lease.allows_sending(now, server.served_at)
 
-    def choose_server(self, request: i.Request, now: float, past: PastAttempts) -> Server | None:
+    def choose_server(self, request: interface.Request, now: float, past: PastAttempts) -> Server | None:
         """The server for the next attempt: of the build on trial while it gets less than 0.8 of its cap, else
         of the earlier build."""
         if (
@@ -578,7 +582,7 @@
             0.8 * self.exposure_cap(self.pools[True][-1].entry.build)[0], overshare * size[1] / sum(size)
         )
 
-    def may_attempt(self, server: Server, request: i.Request, now: float, past: PastAttempts) -> bool:
+    def may_attempt(self, server: Server, request: interface.Request, now: float, past: PastAttempts) -> bool:
         """Whether the rules allow an attempt of the request on a server."""
         if not self.may_send_to(server, now) or not self.has_cold_budget(
             server, self.mean_latency_ms[request.route], now
@@ -602,18 +606,18 @@
             route.dedup_scope
         ]
 
-    def shed_or_fail(self, request: i.Request, past: PastAttempts) -> i.Shed | i.Fail:
+    def shed_or_fail(self, request: interface.Request, past: PastAttempts) -> interface.Shed | interface.Fail:
         """The answer to a request that gets no further attempt: an error if it may have been executed and
         must not be repeated, else a shed."""
         route = self.settings.routes[request.route]
-        deduped = route.retry_safety == RetrySafety.DEDUPED and route.dedup_scope == i.DedupScope.ALL
+        deduped = route.retry_safety == RetrySafety.DEDUPED and route.dedup_scope == interface.DedupScope.ALL
         if any(executed for _, _, executed in past) and not (
             deduped or route.retry_safety == RetrySafety.RETRIABLE
         ):
-            return i.Fail()
+            return interface.Fail()
         # Short enough for the repeat to be answered in time.
         retry_after_ms = max(50.0, 0.4 * route.objective_ms)
-        return i.Shed(
+        return interface.Shed(
             min(self.settings.max_retry_after_ms, retry_after_ms)
             if self.settings.retry_after_allowed
             else 0.0
@@ -623,7 +627,7 @@
     # Mean of duration over objective to aim at: with exponential latencies, 9 in 10 then meet the objective.
     TARGET_RATIO = 0.45
 
-    def relative_benefit(self, request: i.Request, now: float) -> float:
+    def relative_benefit(self, request: interface.Request, now: float) -> float:
         """Benefit per unit of work relative to the best route's; lower if the tenant exceeds its share."""
         benefit = self.benefit_density[request.route] / max(self.benefit_density)
         # A request of a slow route occupies its place for long.
@@ -642,7 +646,7 @@
             benefit *= self.settings.over_share_benefit if used > limit else 1.0
         return benefit
 
-    def admission_limit(self, request: i.Request, now: float) -> float:
+    def admission_limit(self, request: interface.Request, now: float) -> float:
         """Number of attempts in flight below which a request is admitted: lower for a low benefit, and for a
         repeat that can only be answered late."""
         index, route = request.route, self.settings.routes[request.route]
@@ -696,8 +700,8 @@
         return mean + 2 * sqrt(mean)
 
     def serve_request(
-        self, request: i.Request, now: float
-    ) -> Generator[i.Action, tuple[float, i.AttemptEnded | None], None]:
+        self, request: interface.Request, now: float
+    ) -> Generator[interface.Action, tuple[float, interface.AttemptEnded | None], None]:
         """Decide on a request; see ``interface.py`` for what is yielded and sent."""
         self.request_times[request.route if self.settings.rollout.cap_per_route else 0].append(now)
         self.new_requests += 1
@@ -721,13 +725,15 @@
                 break
             self.retry_tokens -= token_cost
             attempt = self.register_attempt(request, server, number, now)
-            now, ended = yield i.SendAttempt(server.entry.server, request.deadline - now)
-            past.append((server, attempt, ended.outcome not in i.NOT_EXECUTED))
+            now, ended = yield interface.SendAttempt(server.entry.server, request.deadline - now)
+            past.append((server, attempt, ended.outcome not in interface.NOT_EXECUTED))
             # An attempt that was never sent has cost the server little.
             token_cost = float(ended.outcome not in (Outcome.NOT_CONNECTED, Outcome.MOOT))
         yield self.shed_or_fail(request, past)
 
-    def register_attempt(self, request: i.Request, server: Server, number: int, now: float) -> Attempt:
+    def register_attempt(
+        self, request: interface.Request, server: Server, number: int, now: float
+    ) -> Attempt:
         """Record an attempt that is about to be sent."""
         # Where the slow start exceeds 3 s it is the longer bound: a cold server makes a good build look slow.
         counts_for_trial = self.age_ms(server, now) >= max(
--- a/myrtleroad/policy/state.py
+++ b/myrtleroad/policy/state.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 
 
 @dataclass(slots=True)
@@ -22,7 +22,7 @@
 class Server:
     """One server: its list entry, this front's attempts on it and statistics of recent ones."""
 
-    entry: i.ServerEntry
+    entry: interface.ServerEntry
     # Rounds a cold server's budget to whole attempts at random, anew in each window: decides which fronts may
     # send the last fraction of an attempt.
     rounding_draw: float = 0.0
--- a/myrtleroad/policy/trial.py
+++ b/myrtleroad/policy/trial.py
@@ -9,7 +9,7 @@
 import numpy as np
 from scipy.special import bdtri, ndtr, stdtr
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.interface import Verdict
 
 # Score of an attempt (its duration in ms, or the route's timeout if it failed), covariate, time of its end,
@@ -54,7 +54,7 @@
     MIN_SERVER_AGE_MS = 3000.0  # attempts on younger servers are no samples of either build (design)
     MAX_SAMPLES = 1000  # of each build: some ten seconds of a busy front; bounds the work of a test
 
-    def __init__(self, settings: i.Settings):
+    def __init__(self, settings: interface.Settings):
         self.votes_needed = votes_needed = max(
             1, min(settings.rollout.votes_to_roll_back, settings.balancers)
         )
@@ -102,7 +102,7 @@
         if not on_trial:
             self.baseline_scores[route].append(score)
 
-    def add_counts(self, counts: i.AttemptCounts) -> None:
+    def add_counts(self, counts: interface.AttemptCounts) -> None:
         """Add the platform's counts; older ones decay by half."""
         row = self.counts[0 if counts.build >= self.build > 0 else 1, counts.route]
         row[:] = 0.5 * row + (
--- a/myrtleroad/request_coroutine.py
+++ b/myrtleroad/request_coroutine.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Generator, Iterator
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 
 
 class RequestCoroutine:
@@ -11,14 +11,16 @@
     __slots__ = ("generator", "max_wait_ms", "request_id", "started", "wait_number")
 
     def __init__(
-        self, request_id: int, generator: Generator[i.Action, tuple[float, i.AttemptEnded | None], None]
+        self,
+        request_id: int,
+        generator: Generator[interface.Action, tuple[float, interface.AttemptEnded | None], None],
     ):
         self.request_id, self.generator = request_id, generator
         self.started = False
         self.wait_number = 0  # counts the waits, so that a timer of an earlier one is recognized
         self.max_wait_ms: float | None = None  # of the current wait; None if it has no timeout
 
-    def resume(self, result: i.AttemptEnded | None, now: float) -> Iterator[i.Action]:
+    def resume(self, result: interface.AttemptEnded | None, now: float) -> Iterator[interface.Action]:
         """Yields the actions up to the next wait. After the last action there is no wait, see ``finished``.
 
         ``result``: the outcome that ends the current wait; None at the start and if the wait has timed out.
@@ -31,9 +33,9 @@
                 self.generator.close()
                 return
             self.started, result = True, None
-            if not isinstance(action, i.Wait):
+            if not isinstance(action, interface.Wait):
                 yield action
-            if isinstance(action, i.SendAttempt | i.Wait):
+            if isinstance(action, interface.SendAttempt | interface.Wait):
                 self.max_wait_ms = action.max_wait_ms
                 return
 
--- a/myrtleroad/settings.py
+++ b/myrtleroad/settings.py
@@ -2,16 +2,24 @@
 
 from typing import Any
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 
 NS_PER_MS = 1_000_000
 RETRY_SAFETY = {
-    "repeatable": i.RetrySafety.RETRIABLE,
-    "by_key": i.RetrySafety.DEDUPED,
-    "once": i.RetrySafety.NON_RETRIABLE,
+    "repeatable": interface.RetrySafety.RETRIABLE,
+    "by_key": interface.RetrySafety.DEDUPED,
+    "once": interface.RetrySafety.NON_RETRIABLE,
+}
+DEDUP_SCOPES = {
+    "all": interface.DedupScope.ALL,
+    "zone": interface.DedupScope.ZONE,
+    "cell": interface.DedupScope.CELL,
+}
+VOTE_MODES = {
+    "first_voice": interface.VoteMode.ANY,
+    "by_count": interface.VoteMode.COUNT,
+    "automatic": interface.VoteMode.CLOCK,
 }
-DEDUP_SCOPES = {"all": i.DedupScope.ALL, "zone": i.DedupScope.ZONE, "cell": i.DedupScope.CELL}
-VOTE_MODES = {"first_voice": i.VoteMode.ANY, "by_count": i.VoteMode.COUNT, "automatic": i.VoteMode.CLOCK}
 LOAD_COLUMN = "active"  # column of a load report: how many requests the server is processing
 
 
@@ -20,7 +28,7 @@
     return (duration_ns or 0) / NS_PER_MS
 
 
-def decode_settings(settings: dict[str, Any]) -> i.Settings:
+def decode_settings(settings: dict[str, Any]) -> interface.Settings:
     """Decodes the settings of a deployment; the keys are those that its users write.
 
     Raises KeyError if a key without a default is missing, or if an effect, a group or the gate mode is
@@ -28,11 +36,11 @@
     """
     server_rules, rollout, limits = settings["obligations"], settings.get("specifics", {}), settings["limits"]
     columns = settings.get("report", {}).get("columns", [])
-    return i.Settings(
+    return interface.Settings(
         balancers=settings["balancers"],
         zone=settings.get("zone", 0),
         routes=tuple(
-            i.Route(
+            interface.Route(
                 retry_safety=RETRY_SAFETY[route["effect"]],
                 dedup_scope=DEDUP_SCOPES[route.get("group", "all")],
                 dedup_window_ms=ns_to_ms(route.get("dedup_window")),
@@ -44,11 +52,12 @@
             for route in settings["lanes"]
         ),
         tenants=tuple(
-            i.Tenant(tenant["share"], tenant["quota_per_s"]) for tenant in settings.get("tenants") or ()
+            interface.Tenant(tenant["share"], tenant["quota_per_s"])
+            for tenant in settings.get("tenants") or ()
         ),
         over_share_benefit=settings.get("over_share_worth", 1.0),
         benefit_by_work=settings.get("worth_by") == "work",
-        server_rules=i.ServerRules(
+        server_rules=interface.ServerRules(
             drain_grace_ms=ns_to_ms(server_rules["drain_grace"]),
             slow_start_ms=ns_to_ms(server_rules["cold"]),
             slow_start_min_share=server_rules["cold_share"],
@@ -56,7 +65,7 @@
             overload_window_ms=ns_to_ms(server_rules["fall"]),
             max_poll_interval_ms=ns_to_ms(server_rules.get("ask_every")),
         ),
-        rollout=i.Rollout(
+        rollout=interface.Rollout(
             vote_mode=VOTE_MODES[rollout.get("gate_mode", "by_count")],
             votes_to_advance=rollout.get("votes_to_go", 1),
             votes_to_roll_back=rollout.get("noes_needed", 1),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,14 +5,14 @@
 import pytest
 from gevent import socket
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.net import node_config
 from myrtleroad.policy.balancer import Balancer
 
 
 def build_settings(**changes):
     rollout = dict(
-        vote_mode=i.VoteMode.COUNT,
+        vote_mode=interface.VoteMode.COUNT,
         votes_to_advance=1,
         votes_to_roll_back=1,
         vote_lifetime_ms=6000.0,
@@ -32,15 +32,21 @@
         balancers=1,
         zone=0,
         routes=(
-            i.Route(i.RetrySafety.RETRIABLE, i.DedupScope.ALL, 0.0, 800.0, 2000.0, 2.0, 0.0),
-            i.Route(i.RetrySafety.DEDUPED, i.DedupScope.ZONE, 2500.0, 800.0, 2000.0, 5.0, 0.0),
-            i.Route(i.RetrySafety.NON_RETRIABLE, i.DedupScope.ALL, 0.0, 800.0, 2000.0, 5.0, 0.0),
+            interface.Route(
+                interface.RetrySafety.RETRIABLE, interface.DedupScope.ALL, 0.0, 800.0, 2000.0, 2.0, 0.0
+            ),
+            interface.Route(
+                interface.RetrySafety.DEDUPED, interface.DedupScope.ZONE, 2500.0, 800.0, 2000.0, 5.0, 0.0
+            ),
+            interface.Route(
+                interface.RetrySafety.NON_RETRIABLE, interface.DedupScope.ALL, 0.0, 800.0, 2000.0, 5.0, 0.0
+            ),
         ),
         tenants=(),
         over_share_benefit=1.0,
         benefit_by_work=False,
-        server_rules=i.ServerRules(250.0, 4000.0, 0.3, 2.0, 2000.0, 10000.0),
-        rollout=i.Rollout(**rollout),
+        server_rules=interface.ServerRules(250.0, 4000.0, 0.3, 2.0, 2000.0, 10000.0),
+        rollout=interface.Rollout(**rollout),
         list_on_request=True,
         max_attempts=3,
         hedging_allowed=True,
@@ -50,27 +56,27 @@
         load_column=None,
     )
     values.update(changes)
-    return i.Settings(**values)
+    return interface.Settings(**values)
 
 
-def build_entry(server, build=1, zone=0, started_at=0.0, status=i.ServerStatus.IN_SERVICE):
-    return i.ServerEntry(server, status, build, zone, 0, 0, 1.0, started_at)
+def build_entry(server, build=1, zone=0, started_at=0.0, status=interface.ServerStatus.IN_SERVICE):
+    return interface.ServerEntry(server, status, build, zone, 0, 0, 1.0, started_at)
 
 
 def build_request(request_id=1, route=0, deadline=2000.0, dedup_key=None):
-    return i.Request(request_id, route, None, dedup_key, deadline, 0.0, False)
+    return interface.Request(request_id, route, None, dedup_key, deadline, 0.0, False)
 
 
 def build_stage_update(
     build=1,
     stage=0,
-    phase=i.RolloutPhase.RELEASED,
+    phase=interface.RolloutPhase.RELEASED,
     cap=0.0,
     stage_age_ms=0.0,
-    outcome=i.Outcome.COMPLETED,
+    outcome=interface.Outcome.COMPLETED,
     answers_vote=False,
 ):
-    return i.StageUpdate(outcome, answers_vote, build, stage, phase, cap, stage_age_ms)
+    return interface.StageUpdate(outcome, answers_vote, build, stage, phase, cap, stage_age_ms)
 
 
 @pytest.fixture
@@ -79,7 +85,10 @@
     made = Balancer(build_settings(), 7, 0.0)
     made.update_stage(build_stage_update(), 0.0)
     made.update_server_list(
-        i.ServerListUpdate(i.ListKind.WHOLE, [build_entry(0), build_entry(1), build_entry(2, zone=1)]), 0.0
+        interface.ServerListUpdate(
+            interface.ListKind.WHOLE, [build_entry(0), build_entry(1), build_entry(2, zone=1)]
+        ),
+        0.0,
     )
     return made
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from test_client_listener import VALID_REQUEST, connect, read_status, start_listener
 from test_front import AT, all_requests_accounted, build_dispatcher, end_attempt, started_jobs, submit_request
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
 from myrtleroad.net import dispatcher, response, upstream_server
 from myrtleroad.net.clock import Clock
@@ -22,7 +22,7 @@
     """Puts requests into a dispatcher's mailbox without letting the dispatcher process them."""
     for number in range(count):
         message = dispatcher.Message(b"GET", b"/api", first_values={b"x-txn": b"w%d" % number})
-        request = i.Request(number + 10, 0, 0, None, dispatcher_actor.clock() + 5000.0, 0.0, False)
+        request = interface.Request(number + 10, 0, 0, None, dispatcher_actor.clock() + 5000.0, 0.0, False)
         dispatcher_actor.mailbox.put(
             dispatcher.RequestReceived(request, message, dispatcher_actor.clock(), lambda final: None)
         )
@@ -37,7 +37,9 @@
     running = gevent.spawn(dispatcher_actor.run)
     # The attempt's greenlet does this when its response arrives while the dispatcher processes its mailbox.
     dispatcher_actor.attempt_ended(
-        upstream_server.AttemptResult(job, i.Outcome.COMPLETED, 5.0, UpstreamResponse(200, [], [b"hi"]))
+        upstream_server.AttemptResult(
+            job, interface.Outcome.COMPLETED, 5.0, UpstreamResponse(200, [], [b"hi"])
+        )
     )
     while not responses:
         gevent.sleep(0)
@@ -64,7 +66,9 @@
     server.mailbox.put(upstream_server.StartAttempt(job))
     with pytest.raises(ZeroDivisionError):
         server.run()
-    assert [(each.job, each.outcome) for each in results] == [(job, i.Outcome.MOOT)] and not server.running
+    assert [(each.job, each.outcome) for each in results] == [
+        (job, interface.Outcome.MOOT)
+    ] and not server.running
 
 
 def test_a_fault_while_a_request_is_read_gets_its_client_a_500(monkeypatch):
@@ -194,13 +198,15 @@
     assert {job.server for job in stale_jobs} == {job.server for job in jobs if job.server < 150}
     for job in jobs:
         if job in stale_jobs:
-            end_attempt(dispatcher_actor, job, upstream_server.NOT_SENT, i.Outcome.MOOT)
+            end_attempt(dispatcher_actor, job, upstream_server.NOT_SENT, interface.Outcome.MOOT)
         else:
-            end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+            end_attempt(
+                dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), interface.Outcome.COMPLETED
+            )
     retried_jobs = dispatched_jobs(dispatcher_actor)
     assert len(retried_jobs) == len(stale_jobs) and all(job.server >= 150 for job in retried_jobs)
     for job in retried_jobs:
-        end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+        end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), interface.Outcome.COMPLETED)
     assert all([final.status for final in each] == [200] for each in responses) and all_requests_accounted(
         dispatcher_actor
     )
--- a/tests/test_admission_faults.py
+++ b/tests/test_admission_faults.py
@@ -10,7 +10,7 @@
 from test_client_listener import VALID_REQUEST, connect, read_status, start_listener
 from test_front import AT, all_requests_accounted, build_dispatcher, end_attempt, started_jobs, submit_request
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
 from myrtleroad.net import dispatcher, response, upstream_server
 from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
@@ -29,7 +29,7 @@
     assert [final.status for final in responses] == [502] and not other_responses
     assert dispatcher_actor.counters.counts["reqs_expired"] == 1 and all_requests_accounted(dispatcher_actor)
     late_job, _ = started_jobs(dispatcher_actor)
-    end_attempt(dispatcher_actor, late_job, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
+    end_attempt(dispatcher_actor, late_job, UpstreamResponse(200, [], [b"late"]), interface.Outcome.COMPLETED)
     assert len(responses) == 1 and all_requests_accounted(dispatcher_actor)
 
 
@@ -46,7 +46,7 @@
     assert yield_count > 10
 
 
-@pytest.mark.parametrize("outcome", [i.Outcome.COMPLETED, i.Outcome.RESET])
+@pytest.mark.parametrize("outcome", [interface.Outcome.COMPLETED, interface.Outcome.RESET])
 def test_a_fault_in_handling_an_outcome_fails_that_request_at_once_and_no_other(monkeypatch, outcome):
     dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
     responses, other_responses = submit_request(dispatcher_actor, 1), submit_request(dispatcher_actor, 2)
@@ -54,7 +54,7 @@
     monkeypatch.setattr(dispatcher_actor, "load_report", lambda message: 1 / 0)
     result = (
         UpstreamResponse(200)
-        if outcome == i.Outcome.COMPLETED
+        if outcome == interface.Outcome.COMPLETED
         else ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED)
     )
     dispatcher_actor.ended_attempts.append(upstream_server.AttemptResult(job, outcome, 5.0, result))
@@ -68,7 +68,7 @@
     monkeypatch.setattr(dispatcher_actor, "record_delay", lambda *args: 1 / 0)
     responses = []
     request, message = (
-        i.Request(1, 0, 0, None, dispatcher_actor.clock() + 900.0, 0.0, False),
+        interface.Request(1, 0, 0, None, dispatcher_actor.clock() + 900.0, 0.0, False),
         dispatcher.Message(first_values={b"x-txn": b"1"}),
     )
     dispatcher_actor.handle(
@@ -140,7 +140,7 @@
     dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
     responses = []
     request, message = (
-        i.Request(1, 0, 0, None, dispatcher_actor.clock() + 30.0, 0.0, False),
+        interface.Request(1, 0, 0, None, dispatcher_actor.clock() + 30.0, 0.0, False),
         dispatcher.Message(first_values={b"x-txn": b"1"}),
     )
     dispatcher_actor.handle(
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,7 +11,7 @@
 from gevent.event import Event
 from gevent.queue import SimpleQueue
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.admission.request_accounting import unaccounted_requests
 from myrtleroad.net import actor, dispatcher, front, node_config, response, upstream_server
 from myrtleroad.net.clock import Clock
@@ -36,7 +36,7 @@
 
 def submit_request(dispatcher_actor, request_id=1, route=0, within=1000.0, transaction=None):
     answers = []
-    request = i.Request(request_id, route, 0, None, dispatcher_actor.clock() + within, 0.0, False)
+    request = interface.Request(request_id, route, 0, None, dispatcher_actor.clock() + within, 0.0, False)
     message = Message(b"GET", b"/api", first_values={b"x-txn": transaction or b"a%d" % request_id})
     dispatcher_actor.process(
         dispatcher.RequestReceived(request, message, dispatcher_actor.clock(), answers.append),
@@ -75,7 +75,7 @@
     answers = submit_request(dispatcher_actor)
     (job,) = started_jobs(dispatcher_actor)
     assert not answers and all_requests_accounted(dispatcher_actor)
-    end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), i.Outcome.COMPLETED)
+    end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"hi"]), interface.Outcome.COMPLETED)
     assert [(a.status, a.body) for a in answers] == [(200, [b"hi"])]
     assert not dispatcher_actor.open_requests and all_requests_accounted(dispatcher_actor)
 
@@ -88,7 +88,7 @@
         dispatcher_actor,
         first,
         ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.REFUSED),
-        i.Outcome.NOT_CONNECTED,
+        interface.Outcome.NOT_CONNECTED,
     )
     (second,) = started_jobs(dispatcher_actor)
     assert (first.attempt_number, second.attempt_number) == (0, 1)
@@ -103,7 +103,7 @@
     assert all_requests_accounted(dispatcher_actor) and not dispatcher_actor.open_requests
     (server,) = dispatcher_actor.balancer.servers.values()
     assert server.in_flight
-    end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
+    end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"late"]), interface.Outcome.COMPLETED)
     assert not answers and not server.in_flight and all_requests_accounted(dispatcher_actor)
 
 
@@ -129,15 +129,18 @@
 
 def test_end_of_a_wait_resumes_the_request_and_a_void_timer_does_not(monkeypatch):
     def waits(request, now):
-        resumed_with = yield i.SendAttempt(0, 900.0, 50.0)
-        yield i.Shed(float(resumed_with[1] is None))
+        resumed_with = yield interface.SendAttempt(0, 900.0, 50.0)
+        yield interface.Shed(float(resumed_with[1] is None))
 
     dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
     monkeypatch.setattr(dispatcher_actor.balancer, "serve_request", waits)
     early, late = submit_request(dispatcher_actor, 1), submit_request(dispatcher_actor, 2)
     (job, _) = started_jobs(dispatcher_actor)
     end_attempt(
-        dispatcher_actor, job, ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED), i.Outcome.RESET
+        dispatcher_actor,
+        job,
+        ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED),
+        interface.Outcome.RESET,
     )
     dispatcher_actor.run_timers(dispatcher_actor.clock() + 60)
     assert [a.header_lines for a in early] == [[]] and [a.header_lines for a in late] == [
@@ -159,13 +162,17 @@
 
 def test_cap_lowered_before_the_write_stops_it():
     dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT, version_no=2))
-    update = i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.ON_TRIAL, 1.0, 0.0)
+    update = interface.StageUpdate(
+        interface.Outcome.COMPLETED, False, 2, 0, interface.RolloutPhase.ON_TRIAL, 1.0, 0.0
+    )
     dispatcher_actor.process(update, dispatcher_actor.clock())
     submit_request(dispatcher_actor)
     (job,) = started_jobs(dispatcher_actor)
     assert dispatcher_actor.preconditions_hold(job)
     dispatcher_actor.process(
-        i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.GOING_BACK, 0.0, 0.0),
+        interface.StageUpdate(
+            interface.Outcome.COMPLETED, False, 2, 0, interface.RolloutPhase.GOING_BACK, 0.0, 0.0
+        ),
         dispatcher_actor.clock(),
     )
     assert not dispatcher_actor.preconditions_hold(job)
@@ -243,7 +250,7 @@
     dispatcher_actor.process(dispatcher.ClientGone(1), dispatcher_actor.clock())
     # its attempt may still run
     assert [a.status for a in submit_request(dispatcher_actor, 3, transaction=b"same")] == [409] and not first
-    end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"late"]), i.Outcome.COMPLETED)
+    end_attempt(dispatcher_actor, job, UpstreamResponse(200, [], [b"late"]), interface.Outcome.COMPLETED)
     assert (
         not dispatcher_actor.ids_in_use
         and submit_request(dispatcher_actor, 4, transaction=b"same") == []
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -6,7 +6,7 @@
 from conftest import build_settings
 from scipy.stats import ttest_ind
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.interface import Verdict
 from myrtleroad.policy.trial import TrialTest, yuen_cuped
 
@@ -147,7 +147,7 @@
 
 def add_counts(trial_test, build, errors, mean_ms=100.0):
     for route, wrong in enumerate(errors):
-        trial_test.add_counts(i.AttemptCounts(build, route, 40, wrong, mean_ms, 500.0))
+        trial_test.add_counts(interface.AttemptCounts(build, route, 40, wrong, mean_ms, 500.0))
 
 
 @pytest.fixture
--- a/tests/test_lists_first.py
+++ b/tests/test_lists_first.py
@@ -16,7 +16,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.net import dispatcher, front, upstream_server
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
@@ -255,7 +255,7 @@
     assert (
         attempts[0] == 0
         and attempts[1] > 0
-        and front_setup.front.discovery.stream_follower.freshness == i.ListFreshness.FRESH
+        and front_setup.front.discovery.stream_follower.freshness == interface.ListFreshness.FRESH
     )
 
 
@@ -375,7 +375,7 @@
     gevent.sleep(0.001)
     answers = []
     for number in range(1000):
-        request = i.Request(number, 0, 0, None, dispatcher_actor.clock() + 1000.0, 0.0, False)
+        request = interface.Request(number, 0, 0, None, dispatcher_actor.clock() + 1000.0, 0.0, False)
         dispatcher_actor.mailbox.put(
             dispatcher.RequestReceived(
                 request,
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -7,7 +7,7 @@
 from conftest import Peer, build_node_config, read_request
 from gevent.queue import SimpleQueue
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.net import upstream_server
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
@@ -57,7 +57,7 @@
     actor, ended = build_server(peer.address)
     for request_id in (1, 2):
         result = run_attempt(actor, ended, request_id=request_id)
-        assert result.outcome == i.Outcome.COMPLETED and b"".join(result.result.body) == b"hi"
+        assert result.outcome == interface.Outcome.COMPLETED and b"".join(result.result.body) == b"hi"
         gevent.sleep(0)
     assert peer.connections == 1
 
@@ -68,13 +68,13 @@
         read_request(sock)
         sock.sendall(OK[:cut])
 
-    assert run_attempt(*build_server(Peer(talk).address)).outcome == i.Outcome.RESET
+    assert run_attempt(*build_server(Peer(talk).address)).outcome == interface.Outcome.RESET
 
 
 def test_refused_connection_counts_as_not_executed():
     peer = Peer()
     peer.sock.close()
-    assert run_attempt(*build_server(peer.address)).outcome == i.Outcome.NOT_CONNECTED
+    assert run_attempt(*build_server(peer.address)).outcome == interface.Outcome.NOT_CONNECTED
 
 
 def test_missing_descriptor_is_not_the_servers_fault(monkeypatch):
@@ -83,7 +83,7 @@
 
     actor, ended = build_server(Peer(answer_with(OK)).address)
     monkeypatch.setattr(upstream_server.socket, "socket", none_left)
-    assert run_attempt(actor, ended).outcome == i.Outcome.MOOT
+    assert run_attempt(actor, ended).outcome == interface.Outcome.MOOT
 
 
 def test_second_response_behind_the_first_is_discarded():
@@ -91,7 +91,7 @@
     actor, ended = build_server(peer.address)
     for request_id in (1, 2):
         result = run_attempt(actor, ended, request_id=request_id)
-        assert result.outcome == i.Outcome.COMPLETED and b"".join(result.result.body) == b"hi"
+        assert result.outcome == interface.Outcome.COMPLETED and b"".join(result.result.body) == b"hi"
         gevent.sleep(0)
     assert peer.connections == 2
 
@@ -106,10 +106,10 @@
 
     peer = Peer(first, answer_with(OK))
     actor, ended = build_server(peer.address)
-    assert run_attempt(actor, ended, within_ms=30.0).outcome == i.Outcome.TIMEOUT
+    assert run_attempt(actor, ended, within_ms=30.0).outcome == interface.Outcome.TIMEOUT
     may_answer.set()
     result = run_attempt(actor, ended, request_id=2)
-    assert result.outcome == i.Outcome.COMPLETED and b"".join(result.result.body) == b"hi"
+    assert result.outcome == interface.Outcome.COMPLETED and b"".join(result.result.body) == b"hi"
     assert peer.connections == 2
 
 
@@ -120,10 +120,10 @@
 
     peer = Peer(first, answer_with(OK))
     actor, ended = build_server(peer.address)
-    assert run_attempt(actor, ended).outcome == i.Outcome.COMPLETED
+    assert run_attempt(actor, ended).outcome == interface.Outcome.COMPLETED
     while not actor.idle_connections or not upstream_server.http1.is_stale(actor.idle_connections[-1].sock):
         gevent.sleep(0.001)
-    assert run_attempt(actor, ended, request_id=2).outcome == i.Outcome.COMPLETED
+    assert run_attempt(actor, ended, request_id=2).outcome == interface.Outcome.COMPLETED
     assert peer.connections == 2
 
 
@@ -136,7 +136,7 @@
         received.append(sock.recv(100))
 
     actor, ended = build_server(Peer(talk).address, preconditions_hold=lambda job: False)
-    assert run_attempt(actor, ended).outcome == i.Outcome.MOOT
+    assert run_attempt(actor, ended).outcome == interface.Outcome.MOOT
     gevent.sleep(0)
     actor.mailbox.put(upstream_server.ServerRemoved())
     while not received:
@@ -145,14 +145,14 @@
 
 
 def test_attempt_without_time_left_is_moot():
-    assert run_attempt(*build_server(("127.0.0.1", 9)), within_ms=0.0).outcome == i.Outcome.MOOT
+    assert run_attempt(*build_server(("127.0.0.1", 9)), within_ms=0.0).outcome == interface.Outcome.MOOT
 
 
 def test_attempt_stopped_before_it_started_still_reports_its_end():
     actor, ended = build_server(Peer(answer_with(OK)).address)
     actor.mailbox.put(upstream_server.StartAttempt(build_job()))
     actor.mailbox.put(upstream_server.StopAttempt(1, 0))
-    assert ended.get().outcome in (i.Outcome.CANCELLED, i.Outcome.NOT_CONNECTED)
+    assert ended.get().outcome in (interface.Outcome.CANCELLED, interface.Outcome.NOT_CONNECTED)
 
 
 def test_attempt_stopped_after_the_write_counts_as_possibly_executed():
@@ -167,7 +167,7 @@
     actor.mailbox.put(upstream_server.StartAttempt(build_job()))
     written.wait()
     actor.mailbox.put(upstream_server.StopAttempt(1, 0))
-    assert ended.get().outcome == i.Outcome.CANCELLED
+    assert ended.get().outcome == interface.Outcome.CANCELLED
 
 
 def test_server_restart_drops_the_old_connections():
@@ -181,7 +181,7 @@
 
 def test_connections_above_the_budget_are_not_kept_idle():
     actor, ended = build_server(Peer(answer_with(OK)).address, limit=0)
-    assert run_attempt(actor, ended).outcome == i.Outcome.COMPLETED
+    assert run_attempt(actor, ended).outcome == interface.Outcome.COMPLETED
     gevent.sleep(0)
     assert actor.idle_connections == [] and actor.budget.in_use == 0
 
@@ -191,4 +191,4 @@
         read_request(sock)
         sock.sendall(b"garbage\r\n\r\n")
 
-    assert run_attempt(*build_server(Peer(talk).address)).outcome == i.Outcome.RESET
+    assert run_attempt(*build_server(Peer(talk).address)).outcome == interface.Outcome.RESET
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,7 +15,7 @@
 )
 from gevent.queue import SimpleQueue
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.net import discovery, http1, node_config, platform, stream
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
@@ -101,9 +101,17 @@
     client, delivered = build_discovery_client()
     receive(client, start_following(client), TWO_LISTS, cut)
     first, second = delivered_of_type(delivered)
-    assert (first.kind, first.version, second.kind) == (i.ListKind.CHANGES, 8, i.ListKind.WHOLE)
+    assert (first.kind, first.version, second.kind) == (
+        interface.ListKind.CHANGES,
+        8,
+        interface.ListKind.WHOLE,
+    )
     (server,) = first.servers
-    assert (server.server_id, server.address, server.entry.status) == ("s-1", AT, i.ServerStatus.DRAINING)
+    assert (server.server_id, server.address, server.entry.status) == (
+        "s-1",
+        AT,
+        interface.ServerStatus.DRAINING,
+    )
     assert client.server_list.version == 9
 
 
@@ -137,9 +145,11 @@
     client, delivered = build_discovery_client(Peer(talk).address)
     running = gevent.spawn(client.run)
     messages = [delivered.get() for _ in range(4)]
-    assert [message.freshness for message in messages if isinstance(message, i.ListFreshnessChanged)] == [
-        i.ListFreshness.FRESH,
-        i.ListFreshness.BLIND,
+    assert [
+        message.freshness for message in messages if isinstance(message, interface.ListFreshnessChanged)
+    ] == [
+        interface.ListFreshness.FRESH,
+        interface.ListFreshness.BLIND,
     ]
     assert [message.version for message in messages if isinstance(message, node_config.ServerListing)] == [
         8,
@@ -207,7 +217,7 @@
     )
     statuses = {server.server_id: server.entry.status for server in delivered_of_type(delivered)[-1].servers}
     assert (
-        statuses == {"s-1": i.ServerStatus.DRAINING, "s-2": i.ServerStatus.DRAINING}
+        statuses == {"s-1": interface.ServerStatus.DRAINING, "s-2": interface.ServerStatus.DRAINING}
         and client.fetching
         and client.streams
     )
@@ -273,7 +283,7 @@
     assert new.address == ("127.0.0.1", 11) and client.streams[0] is old
     client.process(stream.StreamEnded(new, "refused", connected=False))
     assert (
-        client.stream_follower.freshness == i.ListFreshness.FRESH
+        client.stream_follower.freshness == interface.ListFreshness.FRESH
         and client.stream_follower.due() < client.clock() + 500
     )
 
@@ -283,7 +293,9 @@
     updates, delivered = build_stage_updates()
     receive(updates, start_following(updates), EVENT, cut)
     assert [delivered.get()] == [
-        i.StageUpdate(i.Outcome.COMPLETED, False, 42, 1, i.RolloutPhase.ON_TRIAL, 0.28, 310.0)
+        interface.StageUpdate(
+            interface.Outcome.COMPLETED, False, 42, 1, interface.RolloutPhase.ON_TRIAL, 0.28, 310.0
+        )
     ]
     assert delivered.empty()
 
@@ -325,35 +337,35 @@
 @pytest.mark.parametrize(
     ("result", "outcome"),
     [
-        (UpstreamResponse(200, [], [VOTE_RESPONSE]), i.Outcome.COMPLETED),
-        (UpstreamResponse(200, [], [VOTE_RESPONSE[:-30]]), i.Outcome.TIMEOUT),
-        (UpstreamResponse(200, [], [b"<Response/>"]), i.Outcome.TIMEOUT),
-        (UpstreamResponse(400, [], error_body(b"throttled")), i.Outcome.FULL),
+        (UpstreamResponse(200, [], [VOTE_RESPONSE]), interface.Outcome.COMPLETED),
+        (UpstreamResponse(200, [], [VOTE_RESPONSE[:-30]]), interface.Outcome.TIMEOUT),
+        (UpstreamResponse(200, [], [b"<Response/>"]), interface.Outcome.TIMEOUT),
+        (UpstreamResponse(400, [], error_body(b"throttled")), interface.Outcome.FULL),
         (
             UpstreamResponse(400, [], [b"<Response>%b</Response>" % error_body(b"throttled")[0]]),
-            i.Outcome.FULL,
+            interface.Outcome.FULL,
         ),
-        (UpstreamResponse(400, [], error_body(b"conflict")), i.Outcome.MOOT),
-        (UpstreamResponse(400, [], error_body(b"invalid")), i.Outcome.ERRORED),
-        (UpstreamResponse(500, [], error_body(b"internal")), i.Outcome.ERRORED),
-        (UpstreamResponse(500, [], [b"no"]), i.Outcome.TIMEOUT),
-        (UpstreamResponse(400, [], error_body(b"other")), i.Outcome.TIMEOUT),
-        (UpstreamResponse(503, [], error_body(b"throttled")), i.Outcome.TIMEOUT),
-        (UpstreamResponse(200, [], [VOTE_RESPONSE.replace(b"0.28", b"nan")]), i.Outcome.TIMEOUT),
-        (ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.ENDED), i.Outcome.ERRORED),
-        (ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.ENDED), i.Outcome.ERRORED),
-        (ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED), i.Outcome.TIMEOUT),
-        (ExchangeFailure(ExchangeProgress.BEGUN, FailureCause.UNREADABLE), i.Outcome.TIMEOUT),
+        (UpstreamResponse(400, [], error_body(b"conflict")), interface.Outcome.MOOT),
+        (UpstreamResponse(400, [], error_body(b"invalid")), interface.Outcome.ERRORED),
+        (UpstreamResponse(500, [], error_body(b"internal")), interface.Outcome.ERRORED),
+        (UpstreamResponse(500, [], [b"no"]), interface.Outcome.TIMEOUT),
+        (UpstreamResponse(400, [], error_body(b"other")), interface.Outcome.TIMEOUT),
+        (UpstreamResponse(503, [], error_body(b"throttled")), interface.Outcome.TIMEOUT),
+        (UpstreamResponse(200, [], [VOTE_RESPONSE.replace(b"0.28", b"nan")]), interface.Outcome.TIMEOUT),
+        (ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.ENDED), interface.Outcome.ERRORED),
+        (ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.ENDED), interface.Outcome.ERRORED),
+        (ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED), interface.Outcome.TIMEOUT),
+        (ExchangeFailure(ExchangeProgress.BEGUN, FailureCause.UNREADABLE), interface.Outcome.TIMEOUT),
     ],
 )
 def test_outcome_of_a_vote(result, outcome):
     update = platform.vote_result(result)
     assert update.outcome == outcome and update.answers_vote
-    if outcome == i.Outcome.COMPLETED:
+    if outcome == interface.Outcome.COMPLETED:
         assert (update.build, update.stage, update.phase, update.cap) == (
             42,
             1,
-            i.RolloutPhase.ON_TRIAL,
+            interface.RolloutPhase.ON_TRIAL,
             0.28,
         )
 
@@ -370,9 +382,9 @@
         build_node_config(platform=peer.address), Counters(), null_log, delivered.put
     )
     gevent.spawn(caster.run)
-    for verdict in (i.Verdict.ON, i.Verdict.BACK):
-        caster.mailbox.put(i.Vote(42, verdict, 1))
-        assert delivered.get().outcome == i.Outcome.COMPLETED
+    for verdict in (interface.Verdict.ON, interface.Verdict.BACK):
+        caster.mailbox.put(interface.Vote(42, verdict, 1))
+        assert delivered.get().outcome == interface.Outcome.COMPLETED
     assert [form.split(b"&")[3] for form in forms] == [b"Decision=approve", b"Decision=reject"]
     assert forms[0].startswith(b"Action=RecordOpinion&Revision=42&Wave=1&") and peer.connections == 2
 
@@ -388,8 +400,8 @@
     caster = platform.VoteCaster(build_node_config(), Counters(), null_log, delivered.put)
     gevent.spawn(caster.run)
     caster.mailbox.put(node_config.AddressChanged(peer.address))
-    caster.mailbox.put(i.Vote(42, i.Verdict.ON, 1))
-    assert delivered.get().outcome == i.Outcome.COMPLETED and len(forms) == 1
+    caster.mailbox.put(interface.Vote(42, interface.Verdict.ON, 1))
+    assert delivered.get().outcome == interface.Outcome.COMPLETED and len(forms) == 1
 
 
 def test_vote_without_a_response_may_have_been_executed():
@@ -399,7 +411,7 @@
 
     caster = platform.VoteCaster(build_node_config(platform=Peer(talk).address), Counters(), null_log, None)
     caster.timeout_s = 0.02
-    assert caster.cast(i.Vote(1, i.Verdict.ON, 0)) == ExchangeFailure(
+    assert caster.cast(interface.Vote(1, interface.Verdict.ON, 0)) == ExchangeFailure(
         ExchangeProgress.WRITTEN, FailureCause.TIMEOUT
     )
 
@@ -414,18 +426,19 @@
     )
     assert (config.routes, config.tenants) == ({b"look": 0, b"book": 1}, {b"acme": 0})
     assert (
-        config.facts.routes[1].retry_safety == i.RetrySafety.NON_RETRIABLE and config.facts.load_column == 0
+        config.facts.routes[1].retry_safety == interface.RetrySafety.NON_RETRIABLE
+        and config.facts.load_column == 0
     )
     assert (
-        config.initial_list.kind == i.ListKind.REMEMBERED
-        and config.initial_stage.phase == i.RolloutPhase.RELEASED
+        config.initial_list.kind == interface.ListKind.REMEMBERED
+        and config.initial_stage.phase == interface.RolloutPhase.RELEASED
     )
     entry = config.initial_list.servers[0].entry
     assert (entry.zone, entry.started_at, entry.build, entry.status) == (
         1,
         12.0,
         41,
-        i.ServerStatus.IN_SERVICE,
+        interface.ServerStatus.IN_SERVICE,
     )
 
 
--- a/tests/test_request_accounting.py
+++ b/tests/test_request_accounting.py
@@ -7,20 +7,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.admission.request_accounting import unaccounted_requests
 from myrtleroad.net import dispatcher, upstream_server
 from myrtleroad.net.counters import Counters
 from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
 
 RESULTS = {
-    i.Outcome.COMPLETED: UpstreamResponse(200, [], [b"hi"]),
-    i.Outcome.ERRORED: UpstreamResponse(500),
-    i.Outcome.FULL: UpstreamResponse(503, [(b"X-Turned-Away", b"1")]),
-    i.Outcome.TIMEOUT: ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.TIMEOUT),
-    i.Outcome.RESET: ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED),
-    i.Outcome.NOT_CONNECTED: ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.REFUSED),
-    i.Outcome.MOOT: ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.WITHDRAWN),
+    interface.Outcome.COMPLETED: UpstreamResponse(200, [], [b"hi"]),
+    interface.Outcome.ERRORED: UpstreamResponse(500),
+    interface.Outcome.FULL: UpstreamResponse(503, [(b"X-Turned-Away", b"1")]),
+    interface.Outcome.TIMEOUT: ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.TIMEOUT),
+    interface.Outcome.RESET: ExchangeFailure(ExchangeProgress.WRITTEN, FailureCause.ENDED),
+    interface.Outcome.NOT_CONNECTED: ExchangeFailure(ExchangeProgress.NOT_CONNECTED, FailureCause.REFUSED),
+    interface.Outcome.MOOT: ExchangeFailure(ExchangeProgress.CONNECTED, FailureCause.WITHDRAWN),
 }
 
 
@@ -65,7 +65,9 @@
     def arrive(self, route, within_ms, read_delay_ms):
         self.last_request_id += 1
         request_id = self.last_request_id
-        request = i.Request(request_id, route, 0, None, self.now - read_delay_ms + within_ms, 0.0, False)
+        request = interface.Request(
+            request_id, route, 0, None, self.now - read_delay_ms + within_ms, 0.0, False
+        )
         message = dispatcher.Message(b"GET", b"/api", first_values={b"x-txn": b"%d" % request_id})
         self.deadlines[request_id], self.responses[request_id] = request.deadline, []
 
@@ -87,7 +89,7 @@
         if not self.running_jobs:
             return
         job = self.running_jobs.pop(job_index % len(self.running_jobs))
-        if outcome not in i.NOT_EXECUTED:
+        if outcome not in interface.NOT_EXECUTED:
             self.executed[job.request_id] = True
         if fault:
             self.dispatcher.load_report = lambda message: 1 / 0
@@ -135,7 +137,9 @@
         assert not self.dispatcher.open_requests
         for job in self.running_jobs:
             self.dispatcher.attempt_ended(
-                upstream_server.AttemptResult(job, i.Outcome.RESET, 1.0, RESULTS[i.Outcome.RESET])
+                upstream_server.AttemptResult(
+                    job, interface.Outcome.RESET, 1.0, RESULTS[interface.Outcome.RESET]
+                )
             )
         self.dispatcher.process_ended_attempts()
         assert not self.dispatcher.ids_in_use  # no request leaves state behind, so none accumulates
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,27 +6,27 @@
 import pytest
 from conftest import build_entry, build_request, build_settings, build_stage_update
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.membership.lease import LeaseTerms, ListLease
 from myrtleroad.policy.balancer import Balancer
 from myrtleroad.policy.state import Attempt
 
 
 def attempt_ended(server, outcome, number=0, duration_ms=50.0):
-    return i.AttemptEnded(server, number, outcome, duration_ms, None, False)
+    return interface.AttemptEnded(server, number, outcome, duration_ms, None, False)
 
 
 def test_errored_non_retriable_request_fails_at_once(balancer):
     decisions = balancer.serve_request(build_request(route=2), 0.0)
     send = next(decisions)
-    assert decisions.send((50.0, attempt_ended(send.server, i.Outcome.ERRORED))) == i.Fail()
+    assert decisions.send((50.0, attempt_ended(send.server, interface.Outcome.ERRORED))) == interface.Fail()
 
 
 def test_non_retriable_request_that_was_not_executed_is_sent_again(balancer):
     decisions = balancer.serve_request(build_request(route=2), 0.0)
     send = next(decisions)
-    second = decisions.send((50.0, attempt_ended(send.server, i.Outcome.NOT_CONNECTED)))
-    assert isinstance(second, i.SendAttempt) and second.server != send.server
+    second = decisions.send((50.0, attempt_ended(send.server, interface.Outcome.NOT_CONNECTED)))
+    assert isinstance(second, interface.SendAttempt) and second.server != send.server
 
 
 def test_deduplicated_request_is_only_repeated_in_its_scope_and_window(balancer):
@@ -34,29 +34,32 @@
     assert balancer.may_attempt(balancer.servers[1], build_request(route=1), 100.0, past)
     assert not balancer.may_attempt(balancer.servers[2], build_request(route=1), 100.0, past)
     assert not balancer.may_attempt(balancer.servers[1], build_request(route=1), 2600.0, past)
-    assert balancer.shed_or_fail(build_request(route=1), past) == i.Fail()
+    assert balancer.shed_or_fail(build_request(route=1), past) == interface.Fail()
 
 
 def test_no_attempt_after_the_clients_deadline(balancer):
     decisions = balancer.serve_request(build_request(deadline=100.0), 0.0)
     send = next(decisions)
-    assert isinstance(decisions.send((100.0, attempt_ended(send.server, i.Outcome.TIMEOUT))), i.Shed | i.Fail)
+    assert isinstance(
+        decisions.send((100.0, attempt_ended(send.server, interface.Outcome.TIMEOUT))),
+        interface.Shed | interface.Fail,
+    )
 
 
 def test_draining_server_gets_no_requests(balancer):
-    entries = [build_entry(n, status=i.ServerStatus.DRAINING) for n in (0, 1)]
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, entries), 0.0)
+    entries = [build_entry(n, status=interface.ServerStatus.DRAINING) for n in (0, 1)]
+    balancer.update_server_list(interface.ServerListUpdate(interface.ListKind.CHANGES, entries), 0.0)
     assert next(balancer.serve_request(build_request(), 0.0)).server == 2
 
 
 def test_empty_list_sheds_at_once(balancer):
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, []), 0.0)
-    assert isinstance(next(balancer.serve_request(build_request(), 0.0)), i.Shed)
+    balancer.update_server_list(interface.ServerListUpdate(interface.ListKind.WHOLE, []), 0.0)
+    assert isinstance(next(balancer.serve_request(build_request(), 0.0)), interface.Shed)
 
 
 def test_cold_server_gets_no_more_than_its_budget(balancer):
     balancer.update_server_list(
-        i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(1, started_at=900.0)]), 900.0
+        interface.ServerListUpdate(interface.ListKind.CHANGES, [build_entry(1, started_at=900.0)]), 900.0
     )
     cold, balancer.completion_rate = balancer.servers[1], 0.1
     room = 2.0 * balancer.warmth(cold, 1000.0) * 0.1 * 2000.0
@@ -71,7 +74,7 @@
     for seed in range(200):
         balancer = Balancer(build_settings(), seed, 0.0)
         balancer.update_server_list(
-            i.ServerListUpdate(i.ListKind.WHOLE, [build_entry(0, started_at=900.0)]), 900.0
+            interface.ServerListUpdate(interface.ListKind.WHOLE, [build_entry(0, started_at=900.0)]), 900.0
         )
         balancer.completion_rate = 0.01  # budget for a tenth of an attempt
         balancer.servers[0].rounding_draw, balancer.servers[0].draw_expires_at = balancer.random(), 1e9
@@ -81,7 +84,7 @@
 
 def test_only_a_sample_of_a_large_fleet_is_compared(balancer, monkeypatch):
     entries = [build_entry(n) for n in range(200)]
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, entries), 0.0)
+    balancer.update_server_list(interface.ServerListUpdate(interface.ListKind.WHOLE, entries), 0.0)
     compared = []
     monkeypatch.setattr(balancer, "expected_cost", lambda server, now: compared.append(server) or 1.0)
     assert balancer.best_server(False, build_request(), 0.0, []) is not None
@@ -90,14 +93,14 @@
 
 def test_the_only_usable_server_of_a_large_fleet_is_found(balancer):
     entries = [build_entry(n) for n in range(200)]
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, entries), 0.0)
+    balancer.update_server_list(interface.ServerListUpdate(interface.ListKind.WHOLE, entries), 0.0)
     for n in range(1, 200):
-        balancer.servers[n].entry.status = i.ServerStatus.DRAINING
+        balancer.servers[n].entry.status = interface.ServerStatus.DRAINING
     assert balancer.best_server(False, build_request(), 0.0, []).entry.server == 0
 
 
 def test_exposure_counts_attempts_in_the_window(balancer):
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
     balancer.request_times[0].extend([1000.0] * 6)
     balancer.trial_attempt_times[0].extend([1000.0] * 3)
     assert balancer.has_exposure_room(build_request(), 2, 1500.0)
@@ -110,16 +113,16 @@
 
 
 def test_build_that_goes_back_gets_no_attempts(balancer):
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.GOING_BACK, cap=0.5), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.GOING_BACK, cap=0.5), 0.0)
     balancer.request_times[0].extend([0.0] * 50)
     assert not balancer.has_exposure_room(build_request(), 2, 0.0)
 
 
 def test_vote_is_cast_once_and_renewed_before_it_expires(balancer):
-    vote = i.Vote(2, i.Verdict.ON, 0)
+    vote = interface.Vote(2, interface.Verdict.ON, 0)
     assert balancer.cast_vote(vote, 0.0) == [vote]
     balancer.update_stage(
-        build_stage_update(2, 0, i.RolloutPhase.ON_TRIAL, cap=0.1, answers_vote=True), 200.0
+        build_stage_update(2, 0, interface.RolloutPhase.ON_TRIAL, cap=0.1, answers_vote=True), 200.0
     )
     assert balancer.cast_vote(vote, 1000.0) == []
     assert balancer.cast_vote(vote, 5000.0) == [vote]
@@ -134,13 +137,15 @@
     return balancer.lease
 
 
-def serve_one(balancer, now, server=None, outcome=i.Outcome.COMPLETED, connected_at=0.0, request_id=1):
+def serve_one(
+    balancer, now, server=None, outcome=interface.Outcome.COMPLETED, connected_at=0.0, request_id=1
+):
     """Send one request at ``now`` that ends 10 ms later. Returns its server, or None if it was shed."""
     act = next(balancer.serve_request(build_request(request_id, deadline=now + 2000.0), now))
-    if not isinstance(act, i.SendAttempt):
+    if not isinstance(act, interface.SendAttempt):
         return None
     balancer.record_outcome(
-        request_id, i.AttemptEnded(act.server, 0, outcome, 10.0, None, True, connected_at), now + 10.0
+        request_id, interface.AttemptEnded(act.server, 0, outcome, 10.0, None, True, connected_at), now + 10.0
     )
     return act.server
 
@@ -176,13 +181,13 @@
 def test_after_the_lease_expires_a_server_that_rejects_a_request_gets_no_other(balancer):
     with_lease(balancer)
     balancer.servers[1].served_at = 6000.0
-    assert serve_one(balancer, 7000.0, outcome=i.Outcome.FULL) == 1
+    assert serve_one(balancer, 7000.0, outcome=interface.Outcome.FULL) == 1
     assert [serve_one(balancer, now, request_id=2) for now in (7100.0, 9500.0, 12000.0)] == [None] * 3
 
 
 def test_server_that_rejects_a_request_while_blind_is_ejected(balancer):
     with_lease(balancer)
-    rejecting = serve_one(balancer, 1000.0, outcome=i.Outcome.FULL)
+    rejecting = serve_one(balancer, 1000.0, outcome=interface.Outcome.FULL)
     assert balancer.servers[rejecting].ejected_until >= 3000.0
     assert all(serve_one(balancer, 1100.0, request_id=n) != rejecting for n in range(2, 12))
 
@@ -204,26 +209,28 @@
 def test_after_the_lease_expires_shed_requests_get_a_retry_after(balancer):
     with_lease(balancer)
     act = next(balancer.serve_request(build_request(), 7000.0))
-    assert isinstance(act, i.Shed) and act.retry_after_ms > 0
+    assert isinstance(act, interface.Shed) and act.retry_after_ms > 0
 
 
 def test_attempt_withdrawn_before_its_first_byte_costs_no_retry_token(balancer):
     balancer.retry_tokens = 0.0
     decisions = balancer.serve_request(build_request(1), 0.0)
     act = next(decisions)
-    ended = i.AttemptEnded(act.server, 0, i.Outcome.MOOT, 1.0, None, False)
+    ended = interface.AttemptEnded(act.server, 0, interface.Outcome.MOOT, 1.0, None, False)
     balancer.record_outcome(1, ended, 1.0)
-    assert isinstance(decisions.send((1.0, ended)), i.SendAttempt)
+    assert isinstance(decisions.send((1.0, ended)), interface.SendAttempt)
 
 
 def test_attempts_that_hang_on_the_trial_build_do_not_stop_admission(balancer):
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
+    balancer.update_server_list(
+        interface.ServerListUpdate(interface.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0
+    )
     for n in range(9):
         balancer.servers[3].in_flight[n, 0] = Attempt(0, 0.0, 1.0, False, None, 1.0)
     balancer.in_flight_limit = 4.0
     balancer.rebuild_pools()
-    assert isinstance(next(balancer.serve_request(build_request(), 0.0)), i.SendAttempt)
+    assert isinstance(next(balancer.serve_request(build_request(), 0.0)), interface.SendAttempt)
 
 
 def test_estimates_without_new_samples_decay(balancer):
@@ -234,18 +241,20 @@
 
 
 def test_key_answered_by_the_trial_build_goes_to_no_earlier_build(balancer):
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
     balancer.trial_answered_keys.add("k")
     assert not balancer.may_attempt(balancer.servers[0], build_request(dedup_key="k"), 0.0, [])
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.RELEASED), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.RELEASED), 0.0)
     assert not balancer.may_attempt(balancer.servers[0], build_request(dedup_key="k"), 0.0, [])
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.GOING_BACK), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.GOING_BACK), 0.0)
     assert balancer.may_attempt(balancer.servers[0], build_request(dedup_key="k"), 0.0, [])
 
 
 def test_loaded_trial_server_gets_no_more_attempts(balancer):
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.9), 0.0)
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.ON_TRIAL, cap=0.9), 0.0)
+    balancer.update_server_list(
+        interface.ServerListUpdate(interface.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0
+    )
     balancer.request_times[0].extend([0.0] * 50)
     balancer.trial_credit = 2.0
     assert balancer.choose_server(build_request(), 0.0, []).entry.server == 3
@@ -255,32 +264,34 @@
 
 
 def test_trial_starts_when_a_build_is_listed_before_its_stage_update(balancer):
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0)
+    balancer.update_server_list(
+        interface.ServerListUpdate(interface.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0
+    )
     assert balancer.trial_test.build == 2
 
 
 def test_attempt_exactly_one_window_ago_still_counts(balancer):
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
     balancer.request_times[0].extend([1000.0] * 6)
     balancer.trial_attempt_times[0].extend([500.0] + [1000.0] * 3)
     assert not balancer.has_exposure_room(build_request(), 2, 2500.0)
 
 
 def test_moot_vote_to_advance_shows_that_the_stage_is_over(balancer):
-    balancer.update_stage(build_stage_update(2, 0, i.RolloutPhase.ON_TRIAL, cap=0.1), 0.0)
-    balancer.cast_vote(i.Vote(2, i.Verdict.ON, 0), 100.0)
-    balancer.update_stage(build_stage_update(0, 0, outcome=i.Outcome.MOOT, answers_vote=True), 5000.0)
+    balancer.update_stage(build_stage_update(2, 0, interface.RolloutPhase.ON_TRIAL, cap=0.1), 0.0)
+    balancer.cast_vote(interface.Vote(2, interface.Verdict.ON, 0), 100.0)
+    balancer.update_stage(build_stage_update(0, 0, outcome=interface.Outcome.MOOT, answers_vote=True), 5000.0)
     assert (balancer.stage, balancer.exposure_cap(2)) == (1, (0.1, 0))
     # The stage that is over cannot have been shorter.
     assert balancer.stage_started_at == balancer.trial_test.stage_duration_ms
-    balancer.update_stage(build_stage_update(2, 0, i.RolloutPhase.ON_TRIAL, cap=0.1), 5100.0)
+    balancer.update_stage(build_stage_update(2, 0, interface.RolloutPhase.ON_TRIAL, cap=0.1), 5100.0)
     assert balancer.stage == 1
 
 
 def test_server_that_rejects_repeatedly_is_ejected(balancer):
     for n in range(4):
         balancer.servers[0].in_flight[n, 0] = Attempt(0, 0.0, 1.0, False, None, 2.0)
-        balancer.record_outcome(n, attempt_ended(0, i.Outcome.FULL), 0.0)
+        balancer.record_outcome(n, attempt_ended(0, interface.Outcome.FULL), 0.0)
     assert balancer.servers[0].ejected_until >= 2000.0
 
 
@@ -293,8 +304,8 @@
 def test_shedding_is_logged_when_it_begins_and_ends(balancer):
     balancer.in_flight_limit = 0.0
     next(balancer.serve_request(build_request(), 0.0))
-    assert any("began" in a.text for a in balancer.wake(100.0) if isinstance(a, i.LogMessage))
-    assert any("ended" in a.text for a in balancer.wake(1200.0) if isinstance(a, i.LogMessage))
+    assert any("began" in a.text for a in balancer.wake(100.0) if isinstance(a, interface.LogMessage))
+    assert any("ended" in a.text for a in balancer.wake(1200.0) if isinstance(a, interface.LogMessage))
 
 
 def end_attempt(balancer, server, outcome, number, duration_ms=50.0, route=0):
@@ -306,19 +317,19 @@
 
 def test_failures_that_all_servers_share_eject_none(balancer):
     for n in range(40):
-        end_attempt(balancer, n % 3, i.Outcome.ERRORED if n % 2 else i.Outcome.COMPLETED, n)
+        end_attempt(balancer, n % 3, interface.Outcome.ERRORED if n % 2 else interface.Outcome.COMPLETED, n)
     assert not balancer.count_ejected(balancer.servers.values(), 60.0)
 
 
 def test_single_failing_server_is_ejected(balancer):
     for n in range(4):
-        end_attempt(balancer, 1, i.Outcome.ERRORED, n)
+        end_attempt(balancer, 1, interface.Outcome.ERRORED, n)
     assert balancer.servers[1].ejected_until > 2000.0
 
 
 def test_timeout_within_the_objective_counts_for_nothing(balancer):
     for n in range(20):
-        end_attempt(balancer, 0, i.Outcome.TIMEOUT, n, duration_ms=200.0)
+        end_attempt(balancer, 0, interface.Outcome.TIMEOUT, n, duration_ms=200.0)
     assert (
         balancer.servers[0].failure_rate,
         sum(balancer.recent_samples),
@@ -334,17 +345,22 @@
     balancer.in_flight_limit = 100.0
     for n in range(60):
         end_attempt(
-            balancer, n % 3, i.Outcome.COMPLETED, n, duration_ms=1500.0 if n % 2 else 80.0, route=n % 2
+            balancer,
+            n % 3,
+            interface.Outcome.COMPLETED,
+            n,
+            duration_ms=1500.0 if n % 2 else 80.0,
+            route=n % 2,
         )
     samples = len(balancer.trial_test.earlier)
     balancer.adapt_limit()
-    end_attempt(balancer, 0, i.Outcome.COMPLETED, 99, duration_ms=1500.0, route=1)
+    end_attempt(balancer, 0, interface.Outcome.COMPLETED, 99, duration_ms=1500.0, route=1)
     assert balancer.is_slow_route(1) and not balancer.is_slow_route(0)
     assert balancer.in_flight_limit >= 100.0 and len(balancer.trial_test.earlier) == samples
 
 
 def test_refused_connection_ejects_the_server_and_is_no_failure(balancer):
-    end_attempt(balancer, 0, i.Outcome.NOT_CONNECTED, 1)
+    end_attempt(balancer, 0, interface.Outcome.NOT_CONNECTED, 1)
     assert balancer.servers[0].ejected_until > 1000.0
     assert balancer.servers[0].failure_rate == 0.0 and not balancer.trial_test.earlier
 
@@ -362,13 +378,14 @@
     decisions = balancer.serve_request(build_request(), 0.0)
     first = next(decisions)
     assert isinstance(
-        decisions.send((50.0, attempt_ended(first.server, i.Outcome.NOT_CONNECTED))), i.SendAttempt
+        decisions.send((50.0, attempt_ended(first.server, interface.Outcome.NOT_CONNECTED))),
+        interface.SendAttempt,
     )
 
 
 def test_timeouts_lower_the_limit_of_a_small_front(balancer):
     for n in range(3):
-        end_attempt(balancer, n, i.Outcome.TIMEOUT, n, duration_ms=900.0)
+        end_attempt(balancer, n, interface.Outcome.TIMEOUT, n, duration_ms=900.0)
     for _ in range(20):
         balancer.adapt_limit()
     assert balancer.in_flight_limit <= balancer.chance_bound(6.0)  # two on each server
@@ -376,7 +393,9 @@
 
 def report_load(balancer, server, load, request_id, at=100.0):
     balancer.servers[server].in_flight[request_id, 0] = Attempt(0, 0.0, 1.0, True, None, 2.0)
-    balancer.record_outcome(request_id, i.AttemptEnded(server, 0, i.Outcome.COMPLETED, 50.0, load, True), at)
+    balancer.record_outcome(
+        request_id, interface.AttemptEnded(server, 0, interface.Outcome.COMPLETED, 50.0, load, True), at
+    )
 
 
 def test_late_reports_of_own_attempts_are_not_counted_as_other_load(balancer):
@@ -395,7 +414,7 @@
 def test_server_without_reports_is_assumed_to_hold_what_others_of_its_size_report():
     balancer = Balancer(build_settings(balancers=200, load_column=0), 7, 0.0)
     sized = [replace(build_entry(n), weight=3.0 + n % 2) for n in range(30)]
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.WHOLE, sized), 0.0)
+    balancer.update_server_list(interface.ServerListUpdate(interface.ListKind.WHOLE, sized), 0.0)
     for n in range(29):
         report_load(balancer, n, 2.0 * sized[n].weight, 100.0 + n)
     for _ in range(5):
@@ -415,8 +434,8 @@
         balancer = Balancer(build_settings(balancers=300, load_column=0), seed, 0.0)
         balancer.update_stage(build_stage_update(), 0.0)
         balancer.update_server_list(
-            i.ServerListUpdate(
-                i.ListKind.WHOLE, [replace(build_entry(n), weight=w) for n, w in sizes.items()]
+            interface.ServerListUpdate(
+                interface.ListKind.WHOLE, [replace(build_entry(n), weight=w) for n, w in sizes.items()]
             ),
             0.0,
         )
@@ -433,7 +452,9 @@
         report_load(balancer, 0, None, 10 + n)
     latency_before = server.relative_latency
     server.in_flight[2, 0] = Attempt(0, 100.0, 1.0, True, None, 2.0)
-    balancer.record_outcome(2, i.AttemptEnded(0, 0, i.Outcome.COMPLETED, 5000.0, None, True), 5100.0)
+    balancer.record_outcome(
+        2, interface.AttemptEnded(0, 0, interface.Outcome.COMPLETED, 5000.0, None, True), 5100.0
+    )
     assert server.relative_latency < latency_before + 0.15
     server.in_flight[3, 0], server.last_connected_at = Attempt(0, 5100.0, 1.0, True, None, 2.0), 9000.0
     answering = balancer.expected_cost(server, 9001.0)
@@ -456,7 +477,7 @@
 
 
 def test_retry_after_of_a_shed_request_leaves_time_to_meet_the_objective(balancer):
-    assert balancer.shed_or_fail(build_request(), []) == i.Shed(320.0)
+    assert balancer.shed_or_fail(build_request(), []) == interface.Shed(320.0)
 
 
 def test_shed_requests_add_trial_credit_only_where_load_is_visible(balancer):
@@ -469,25 +490,28 @@
 
 
 def test_slow_route_is_not_sent_to_the_trial_build(balancer):
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.9), 0.0)
-    balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.ON_TRIAL, cap=0.9), 0.0)
+    balancer.update_server_list(
+        interface.ServerListUpdate(interface.ListKind.CHANGES, [build_entry(3, build=2)]), 0.0
+    )
     balancer.request_times[0].extend([0.0] * 50)
     balancer.trial_credit, balancer.latency_ratio = 2.0, [1.5, 0.2, 0.2]
     assert balancer.choose_server(build_request(), 0.0, []).entry.server != 3
 
 
 def test_counts_of_no_attempts_are_ignored(balancer):
-    balancer.record_counts(i.AttemptCounts(9, 0, 0, 0, 0.0, 0.0), 0.0)
+    balancer.record_counts(interface.AttemptCounts(9, 0, 0, 0, 0.0, 0.0), 0.0)
     assert not balancer.trial_test.has_new_counts and not balancer.trial_test.counts.any()
 
 
 @pytest.mark.parametrize(("counts", "expected"), [(0.0, [1.35, 1.175, 1.0, 1.0]), (2000.0, [1.35] * 4)])
 def test_extra_share_of_the_trial_falls_with_load_where_no_counts_are_sent(counts, expected):
     balancer = Balancer(build_settings(rollout={"counts_interval_ms": counts}), 7, 0.0)
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=1.0), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.ON_TRIAL, cap=1.0), 0.0)
     balancer.update_server_list(
-        i.ServerListUpdate(
-            i.ListKind.WHOLE, [build_entry(0), build_entry(1), build_entry(2), build_entry(3, build=2)]
+        interface.ServerListUpdate(
+            interface.ListKind.WHOLE,
+            [build_entry(0), build_entry(1), build_entry(2), build_entry(3, build=2)],
         ),
         0.0,
     )
@@ -502,21 +526,24 @@
 def test_operators_limit_attempts_retry_budget_and_the_share_of_the_trial(balancer):
     settings = balancer.settings
     routes = (replace(settings.routes[0], max_attempts=1, retry_budget=0.0), *settings.routes[1:])
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.ON_TRIAL, cap=0.5), 0.0)
     # Keeps the settings that were valid when the request arrived.
     decisions = balancer.serve_request(build_request(1), 0.0)
     first = next(decisions)
-    balancer.narrow_settings(i.SettingsNarrowed(replace(settings, routes=routes), 0.2), 0.0)
+    balancer.narrow_settings(interface.SettingsNarrowed(replace(settings, routes=routes), 0.2), 0.0)
     assert balancer.exposure_cap(2) == (0.2, 1) and balancer.exposure_cap(3)[0] == 0.1
     assert isinstance(
-        decisions.send((1.0, attempt_ended(first.server, i.Outcome.NOT_CONNECTED))), i.SendAttempt
+        decisions.send((1.0, attempt_ended(first.server, interface.Outcome.NOT_CONNECTED))),
+        interface.SendAttempt,
     )
     tokens_before = balancer.retry_tokens
     decisions = balancer.serve_request(build_request(2), 0.0)
     first = next(decisions)
     assert balancer.retry_tokens == tokens_before
-    assert isinstance(decisions.send((1.0, attempt_ended(first.server, i.Outcome.NOT_CONNECTED))), i.Shed)
-    balancer.update_stage(build_stage_update(2, 1, i.RolloutPhase.GOING_BACK, cap=0.0), 5.0)
+    assert isinstance(
+        decisions.send((1.0, attempt_ended(first.server, interface.Outcome.NOT_CONNECTED))), interface.Shed
+    )
+    balancer.update_stage(build_stage_update(2, 1, interface.RolloutPhase.GOING_BACK, cap=0.0), 5.0)
     assert balancer.exposure_cap(2)[0] == 0.0
 
 
@@ -527,7 +554,8 @@
     for balancer in balancers:
         balancer.update_stage(build_stage_update(), 0.0)
         balancer.update_server_list(
-            i.ServerListUpdate(i.ListKind.WHOLE, [build_entry(n) for n in range(servers)]), 0.0
+            interface.ServerListUpdate(interface.ListKind.WHOLE, [build_entry(n) for n in range(servers)]),
+            0.0,
         )
     return balancers
 
@@ -535,25 +563,25 @@
 def test_few_late_responses_do_not_block_a_small_front():
     balancer = build_fleet(200, 100)[0]
     for n in range(3):
-        end_attempt(balancer, n, i.Outcome.TIMEOUT, n, duration_ms=900.0)
+        end_attempt(balancer, n, interface.Outcome.TIMEOUT, n, duration_ms=900.0)
     # Two attempts in flight at all times.
     balancer.in_flight_limit, balancer.in_flight, balancer.mean_in_flight = 6.0, 2, 2.0
     for _ in range(20):
         balancer.adapt_limit()
-    assert isinstance(next(balancer.serve_request(build_request(9), 0.0)), i.SendAttempt)
+    assert isinstance(next(balancer.serve_request(build_request(9), 0.0)), interface.SendAttempt)
 
 
 def test_small_front_under_overload_is_limited():
     balancer = build_fleet(200, 100)[0]
     for n in range(60):
-        end_attempt(balancer, n, i.Outcome.TIMEOUT, n, duration_ms=900.0)
+        end_attempt(balancer, n, interface.Outcome.TIMEOUT, n, duration_ms=900.0)
         balancer.adapt_limit()
     assert balancer.in_flight_limit <= balancer.chance_bound(1.0)
 
 
 @pytest.mark.parametrize(("fronts", "per_s"), [(200, 0.35), (20, 3.5)])
 def test_tenant_within_its_share_does_not_exceed_it_by_chance(fronts, per_s):
-    tenants = (i.Tenant(0.5, 0.5 * 200), i.Tenant(0.5, 0.5 * 200))
+    tenants = (interface.Tenant(0.5, 0.5 * 200), interface.Tenant(0.5, 0.5 * 200))
     balancer = Balancer(build_settings(balancers=fronts, tenants=tenants, over_share_benefit=0.2), 7, 0.0)
     draw_interval, now, over = Random(3).expovariate, 0.0, 0
     for n in range(400):
@@ -563,7 +591,7 @@
 
 
 def test_front_with_five_times_its_share_of_traffic_gets_as_much_of_the_quota():
-    tenants = (i.Tenant(1.0, 200.0),)
+    tenants = (interface.Tenant(1.0, 200.0),)
     balancer = Balancer(build_settings(balancers=200, tenants=tenants, over_share_benefit=0.2), 7, 0.0)
     over = 0
     for n in range(1000):  # five a second for 200 s
@@ -581,7 +609,8 @@
         # Each front's share of a server in a window: 60 ms. An attempt takes 200.
         balancer.completion_rate = 0.03
         balancer.update_server_list(
-            i.ServerListUpdate(i.ListKind.CHANGES, [build_entry(9, started_at=1000.0)]), 1000.0
+            interface.ServerListUpdate(interface.ListKind.CHANGES, [build_entry(9, started_at=1000.0)]),
+            1000.0,
         )
     for tick in range(20):
         for balancer in balancers:
@@ -605,17 +634,21 @@
         new += now - server.accepted_at > 13_000.0
         balancer.register_attempt(request, server, 0, now)
         balancer.record_outcome(
-            n, i.AttemptEnded(server.entry.server, 0, i.Outcome.COMPLETED, 200.0, None, True), now + 200.0
+            n,
+            interface.AttemptEnded(server.entry.server, 0, interface.Outcome.COMPLETED, 200.0, None, True),
+            now + 200.0,
         )
     assert new <= most_new and (handshake_cost or new > 300)
 
 
 def test_vote_to_roll_back_does_not_wait_for_its_turn():
     balancer = build_fleet(200, 20)[0]
-    assert balancer.cast_vote(i.Vote(2, i.Verdict.ON, 0), 1000.0)
-    assert not balancer.cast_vote(i.Vote(2, i.Verdict.ON, 1), 2000.0)  # ten a second from all of 200
-    assert balancer.cast_vote(i.Vote(2, i.Verdict.BACK, 1), 2000.0)
-    balancer.update_stage(build_stage_update(outcome=i.Outcome.FULL, answers_vote=True), 2100.0)
-    assert not balancer.cast_vote(i.Vote(2, i.Verdict.BACK, 1), 2200.0) and balancer.cast_vote(
-        i.Vote(2, i.Verdict.BACK, 1), 3700.0
-    )
+    assert balancer.cast_vote(interface.Vote(2, interface.Verdict.ON, 0), 1000.0)
+    assert not balancer.cast_vote(
+        interface.Vote(2, interface.Verdict.ON, 1), 2000.0
+    )  # ten a second from all of 200
+    assert balancer.cast_vote(interface.Vote(2, interface.Verdict.BACK, 1), 2000.0)
+    balancer.update_stage(build_stage_update(outcome=interface.Outcome.FULL, answers_vote=True), 2100.0)
+    assert not balancer.cast_vote(
+        interface.Vote(2, interface.Verdict.BACK, 1), 2200.0
+    ) and balancer.cast_vote(interface.Vote(2, interface.Verdict.BACK, 1), 3700.0)
