--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -13,7 +13,7 @@
 import gevent
 
 from soak.deployment import FIRST_BUILD, Deployment
-from soak.play import Play
+from soak.run import SoakRun
 
 SIZES = (150, 600, 1200, 3200)
 RATE = 20.0  # requests a second
@@ -45,21 +45,21 @@
 
 
 def measure(servers: int) -> Need:
-    with Play(Deployment(fronts=1, servers=servers), rate=RATE) as play:
-        pid, descriptors = play.fronts[0].process.pid, 0
-        begun = play.discovery.sent_bytes
+    with SoakRun(Deployment(fronts=1, servers=servers), rate_per_s=RATE) as run:
+        pid, descriptors = run.fronts[0].process.pid, 0
+        begun = run.discovery.sent_list_bytes
         for turn in range(int(RUN_S / TURN_S)):
             name = f"s-{turn % servers:03d}"
-            play.drain(name) if turn % 2 == 0 else play.bring_back(
+            run.drain_servers(name) if turn % 2 == 0 else run.restart_servers(
                 FIRST_BUILD, f"s-{(turn - 1) % servers:03d}"
             )
             gevent.sleep(TURN_S)
             descriptors = max(descriptors, len(os.listdir(f"/proc/{pid}/fd")))
-        made = sum(server.accepted for server in play.servers.values())
-        sent = (play.discovery.sent_bytes - begun) / KB
+        made = sum(server.accepted_count for server in run.servers.values())
+        sent = (run.discovery.sent_list_bytes - begun) / KB
         need = Need(servers, cpu_s(pid), peak_mb(pid), descriptors, made, sent, 0.0)
-        play.finish()
-        requests = play.records.requests
+        run.finish()
+        requests = run.records.requests
         need.served = sum(r.outcome == "served" for r in requests) / max(1, len(requests))
         return need
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -10,78 +10,84 @@
 import click
 import orjson
 
+from soak.checker import Violation
 from soak.deployment import Deployment
 from soak.faults import FAULTS, Fault
-from soak.judge import Break
-from soak.play import Play
 from soak.records import Records
-from soak.shim import NoCompiler
+from soak.run import SoakRun
+from soak.shim import ShimBuildError
 
-DAY_S = 14.0  # from the first request to the last
+RUN_DURATION_S = 14.0  # from the first request to the last
 RULES = ("lost", "duplicate", "drain", "failback", "exposure", "crash")
 
 
 @dataclasses.dataclass(slots=True)
-class Result:
+class SeedResult:
     seed: int
     faults: list[str]
-    breaks: list[Break]
-    served: float
-    requests: int
+    violations: list[Violation]
+    served_share: float
+    request_count: int
 
 
-def drawn(seed: int, fronts: int | None, only: tuple[str, ...]) -> tuple[Deployment, list[Fault], Random]:
+def draw_scenario(
+    seed: int, fronts: int | None, fault_names: tuple[str, ...]
+) -> tuple[Deployment, list[Fault], Random]:
     """The deployment and the faults of a seed."""
     random = Random(seed)
-    size = fronts or random.choice((3, 3, 4, 6))
+    front_count = fronts or random.choice((3, 3, 4, 6))
     deployment = Deployment(
-        fronts=size,
+        fronts=front_count,
         servers=random.choice((4, 8, 12)),
-        pushed=random.random() < 0.3,
-        grace_s=random.choice((0.25, 0.25, 1.0)),
+        lists_pushed=random.random() < 0.3,
+        drain_grace_s=random.choice((0.25, 0.25, 1.0)),
         deadline_s=random.choice((1.0, 2.0, 4.0)),
-        sockets=random.choice((128, 384)),
+        max_sockets=random.choice((128, 384)),
     )
-    named = [f for f in FAULTS if f.name in only]
-    return deployment, named or random.sample(FAULTS, random.choice((1, 2, 2, 3))), random
+    selected = [fault for fault in FAULTS if fault.name in fault_names]
+    return deployment, selected or random.sample(FAULTS, random.choice((1, 2, 2, 3))), random
 
 
-def play_seed(seed: int, fronts: int | None, only: tuple[str, ...], keep: Path | None) -> Result:
-    deployment, faults, random = drawn(seed, fronts, only)
-    call_s = 4.0 / deployment.fronts
-    with Play(deployment, seed, random.uniform(2.0, 10.0), min(call_s, 0.2), shim=True) as play:
+def run_seed(seed: int, fronts: int | None, fault_names: tuple[str, ...], keep: Path | None) -> SeedResult:
+    deployment, faults, random = draw_scenario(seed, fronts, fault_names)
+    call_duration_s = 4.0 / deployment.fronts
+    with SoakRun(deployment, seed, random.uniform(2.0, 10.0), min(call_duration_s, 0.2), shim=True) as run:
         for fault in faults:
-            fault.plan(play, random, random.uniform(1.0, 6.0))
+            fault.plan(run, random, random.uniform(1.0, 6.0))
         if random.random() < 0.7:
-            play.after(random.uniform(1.0, 5.0), play.drain, sorted(play.servers)[0])
-        play.run_until(DAY_S)
-        breaks = play.finish()
-        if breaks and keep is not None:
-            write(play, keep / f"seed-{seed}", faults, breaks)
-        outcomes = Counter(r.outcome for r in play.records.requests)
-        share = outcomes["served"] / max(1, len(play.records.requests))
-        return Result(seed, [f.name for f in faults], breaks, share, len(play.records.requests))
-
-
-def write(play: Play, folder: Path, faults: list[Fault], breaks: list[Break]) -> None:
+            run.schedule_fault(random.uniform(1.0, 5.0), run.drain_servers, sorted(run.servers)[0])
+        run.run_until(RUN_DURATION_S)
+        violations = run.finish()
+        if violations and keep is not None:
+            write_records(run, keep / f"seed-{seed}", faults, violations)
+        outcomes = Counter(request.outcome for request in run.records.requests)
+        served_share = outcomes["served"] / max(1, len(run.records.requests))
+        return SeedResult(
+            seed, [fault.name for fault in faults], violations, served_share, len(run.records.requests)
+        )
+
+
+def write_records(run: SoakRun, folder: Path, faults: list[Fault], violations: list[Violation]) -> None:
     """What was seen and the fronts' logs, of a seed that failed."""
     folder.mkdir(parents=True, exist_ok=True)
-    records: Records = play.records
+    records: Records = run.records
     for field in dataclasses.fields(records):
-        lines = [orjson.dumps(x, default=str) for x in getattr(records, field.name)]
+        lines = [orjson.dumps(row, default=str) for row in getattr(records, field.name)]
         (folder / f"{field.name}.jsonl").write_bytes(b"\n".join(lines))
-    (folder / "breaks.txt").write_text("\n".join(f"{b.at:.3f} {b.rule}: {b.what}" for b in breaks))
-    for front in play.fronts:
-        (folder / front.log.name).write_bytes(front.log.read_bytes())
+    (folder / "breaks.txt").write_text(
+        "\n".join(f"{violation.at:.3f} {violation.rule}: {violation.what}" for violation in violations)
+    )
+    for front in run.fronts:
+        (folder / front.log_path.name).write_bytes(front.log_path.read_bytes())
 
 
-def table(results: list[Result]) -> str:
+def format_table(results: list[SeedResult]) -> str:
     """Runs by fault, and in how many of them each rule broke."""
     rows: dict[str, Counter[str]] = defaultdict(Counter)
     for result in results:
         for name in result.faults:
             rows[name]["runs"] += 1
-            rows[name].update({b.rule for b in result.breaks})
+            rows[name].update({violation.rule for violation in result.violations})
     lines = ["| fault | runs | " + " | ".join(RULES) + " |", "| --- " * (len(RULES) + 2) + "|"]
     for name in sorted(rows):
         cells = [str(rows[name][rule]) for rule in ("runs", *RULES)]
@@ -89,15 +95,15 @@
     return "\n".join(lines)
 
 
-def said(result: Result) -> str:
-    share = f"{result.requests} requests, {result.served:.3f} served"
-    what = f"seed {result.seed}: {', '.join(result.faults)}; {share}"
-    if not result.breaks:
-        return f"{what}; kept"
-    first = result.breaks[0]
-    rules = Counter(b.rule for b in result.breaks)
-    broken = ", ".join(f"{rule} {n}" for rule, n in rules.items())
-    return f"{what}; BROKEN {broken}; first: {first.rule} {first.what}"
+def format_result(result: SeedResult) -> str:
+    served_share = f"{result.request_count} requests, {result.served_share:.3f} served"
+    summary = f"seed {result.seed}: {', '.join(result.faults)}; {served_share}"
+    if not result.violations:
+        return f"{summary}; kept"
+    first_violation = result.violations[0]
+    rules = Counter(violation.rule for violation in result.violations)
+    rule_counts = ", ".join(f"{rule} {count}" for rule, count in rules.items())
+    return f"{summary}; BROKEN {rule_counts}; first: {first_violation.rule} {first_violation.what}"
 
 
 @click.command()
@@ -108,7 +114,7 @@
 @click.option("--keep", type=click.Path(path_type=Path), default=Path("found/soak"), show_default=True)
 def main(seeds: int, first: int, fronts: int | None, only: tuple[str, ...], keep: Path) -> None:
     """Play seeded runs of real fronts under faults. Exit code 1 where a rule broke in any of them."""
-    unknown = set(only) - {f.name for f in FAULTS}
+    unknown = set(only) - {fault.name for fault in FAULTS}
     if unknown:
         raise click.BadParameter(f"no fault {', '.join(sorted(unknown))}", param_hint="--fault")
     results = []
@@ -116,15 +122,15 @@
         if sys.stderr.isatty():
             click.echo(f"seed {seed}, {seed - first + 1} of {seeds}", err=True)
         try:
-            results.append(play_seed(seed, fronts, only, keep))
-        except NoCompiler as fault:
-            raise click.ClickException(str(fault)) from None
-        click.echo(said(results[-1]))
-        if results[-1].breaks:
+            results.append(run_seed(seed, fronts, only, keep))
+        except ShimBuildError as error:
+            raise click.ClickException(str(error)) from None
+        click.echo(format_result(results[-1]))
+        if results[-1].violations:
             names = "".join(f" --fault {name}" for name in only)
             click.echo(f"  again: python -m soak --first {seed} --seeds 1{names}")
-    click.echo(table(results))
-    if any(r.breaks for r in results):
+    click.echo(format_table(results))
+    if any(result.violations for result in results):
         sys.exit(1)
 
 
--- /dev/null
+++ b/soak/checker.py
@@ -0,0 +1,303 @@
+"""The five rules, answers in time and crashes, decided from records alone by the protocol page and the page
+of the standing test.
+
+Nothing here knows the program: a break is what stand-ins and clients saw. The slack is the pages' own."""
+
+from bisect import bisect_right
+from collections import defaultdict
+from dataclasses import dataclass
+from itertools import pairwise
+from math import sqrt
+
+from soak.deployment import Deployment
+from soak.records import Attempt, Outcome, Records, Request, ServerChange, StageRecord
+
+TIME_SLACK_S = 0.05  # every limit of time is longer by this on sockets
+CHANGE_KNOWN_AFTER_S = 6.0  # a change counts as told so long after discovery had it and could be reached
+PUSHED_CHANGE_KNOWN_AFTER_S = 0.0  # where lists are pushed, what the agent has counts at once
+LATE_RESPONSE_S = 0.5  # an answer up to this late only earns nothing
+STOP_GRACE_S = 0.7  # requests that come later than this after SIGTERM are excused at the kill
+LEAVE_NOTICE_S = 0.1  # attempts later than this after a client's close are a break
+REMAINING_SLACK_MS = 150
+READY_TIMEOUT_S = 30.0
+EXPOSURE_FREE_ATTEMPTS, EXPOSURE_EXTRA_SHARE = 2, 0.04
+CAP_CHANGE_DELAY_S = 0.15
+BUILD_CHANGE_DELAY_S = 0.3  # a build counts as listed from so long after the listing was written
+IN_SERVICE, CLOSED = "in_service", ("terminating", "terminated")
+
+
+@dataclass(slots=True, frozen=True)
+class Violation:
+    rule: str  # lost, duplicate, drain, failback, exposure, crash
+    at: float
+    what: str
+
+
+class RuleChecker:
+    def __init__(self, records: Records, deployment: Deployment):
+        self.records, self.deployment = records, deployment
+        self.requests_by_id: dict[str, list[Request]] = defaultdict(list)
+        for request in records.requests:
+            self.requests_by_id[request.txn].append(request)
+        self.known_states = KnownServerStates(records, deployment)
+
+    def violations(self) -> list[Violation]:
+        neglected = [partial for partial in self.records.neglected if not self.front_killed_near(*partial)]
+        found = [
+            *self.check_lost_requests(),
+            *self.check_duplicates(),
+            *self.check_drains(),
+            *self.check_slow_starts(),
+            *self.check_exposure(),
+        ]
+        found += [Violation("lost", at, f"a half request at {front} got no end") for at, front in neglected]
+        return sorted([*found, *self.check_crashes(), *self.check_remaining_times()], key=lambda b: b.at)
+
+    def front_killed_near(self, at: float, front: str) -> bool:
+        """Whether a process of this front was killed while a bad client waited there."""
+        return any(
+            process.front == front and process.killed and at <= (process.ended or 0.0) <= at + 4.0
+            for process in self.records.lives
+        )
+
+    # --- no request lost ---
+
+    def check_lost_requests(self) -> list[Violation]:
+        return [
+            Violation(
+                "lost", request.sent, f"{request.txn} at {request.front}: {self.describe_outcome(request)}"
+            )
+            for request in self.records.requests
+            if self.is_lost(request)
+        ]
+
+    def is_lost(self, request: Request) -> bool:
+        if request.resent or request.front_killed or request.outcome in (None, Outcome.LEFT):
+            return False
+        if request.outcome == Outcome.WRONG:
+            return True
+        return self.unanswered(request) or request.ended > request.deadline + LATE_RESPONSE_S
+
+    def unanswered(self, request: Request) -> bool:
+        return request.outcome in (Outcome.CLOSED, Outcome.SILENT)
+
+    def describe_outcome(self, request: Request) -> str:
+        return f"{request.outcome} {request.ended - request.sent:.3f} s after it was sent"
+
+    # --- no effect twice, no attempt for a client that has gone ---
+
+    def check_duplicates(self) -> list[Violation]:
+        executions: dict[str, list[Attempt]] = defaultdict(list)
+        for attempt in self.records.attempts:
+            if attempt.ran:
+                executions[attempt.txn].append(attempt)
+        violations = [
+            Violation("duplicate", executed[1].begun, f"{request_id} ran {len(executed)} times")
+            for request_id, executed in executions.items()
+            if len(executed) > 1 and not all(request.safe for request in self.requests_by_id[request_id])
+        ]
+        return violations + self.check_attempts_after_leaving()
+
+    def check_attempts_after_leaving(self) -> list[Violation]:
+        found = []
+        for attempt in self.records.attempts:
+            requests = self.requests_by_id[attempt.txn]
+            left_at = [request.ended for request in requests if request.outcome == Outcome.LEFT]
+            if len(left_at) == len(requests) and left_at and attempt.begun > max(left_at) + LEAVE_NOTICE_S:
+                what = f"{attempt.txn} sent {attempt.begun - max(left_at):.2f} s after its client left"
+                found.append(Violation("lost", attempt.begun, what))
+        return found
+
+    def check_remaining_times(self) -> list[Violation]:
+        """The time that an attempt tells its server is at most what is left to the client."""
+        found = []
+        for attempt in self.records.attempts:
+            deadline = max((request.deadline for request in self.requests_by_id[attempt.txn]), default=None)
+            if deadline is None:
+                continue
+            excess_ms = attempt.remaining_ms - 1000 * (deadline - attempt.begun)
+            if excess_ms > REMAINING_SLACK_MS:
+                found.append(
+                    Violation("lost", attempt.begun, f"{attempt.txn} told {excess_ms:.0f} ms too much")
+                )
+        return found
+
+    # --- drains kept ---
+
+    def check_drains(self) -> list[Violation]:
+        found = []
+        limit_s = self.deployment.drain_grace_s + TIME_SLACK_S
+        for attempt in self.records.attempts:
+            front = self.front_of(attempt)
+            if front is None:
+                continue
+            draining_since = self.known_states.draining_since(front, attempt.server, attempt.begun)
+            if draining_since is not None and attempt.begun - draining_since > limit_s:
+                late_s = attempt.begun - draining_since
+                what = f"{attempt.txn} of {front} to {attempt.server}, {late_s:.2f} s after it was told"
+                found.append(Violation("drain", attempt.begun, what))
+        return found
+
+    def front_of(self, attempt: Attempt) -> str | None:
+        requests = self.requests_by_id[attempt.txn]
+        return requests[0].front if requests else None
+
+    # --- no cold server overloaded ---
+
+    def check_slow_starts(self) -> list[Violation]:
+        deployment, found = self.deployment, []
+        for server in {c.server for c in self.records.changes}:
+            attempt_times = [a.begun for a in self.records.attempts if a.server == server]
+            for begun in self.restart_times(server):
+                slow_start_attempts = [
+                    t for t in attempt_times if begun <= t < begun + deployment.slow_start_s
+                ]
+                if (at := self.first_overload(slow_start_attempts, begun)) is not None:
+                    found.append(Violation("failback", at, f"{server} {at - begun:.2f} s after its start"))
+        return found
+
+    def restart_times(self, server: str) -> list[float]:
+        """When discovery had each start of this server, but for the first."""
+        changes = [c for c in self.records.changes if c.server == server]
+        return [b.at for a, b in pairwise(changes) if b.started_ms > a.started_ms]
+
+    def first_overload(self, attempt_times: list[float], begun: float) -> float | None:
+        deployment = self.deployment
+        for index, at in enumerate(attempt_times):
+            capacity_share = min(
+                1.0,
+                deployment.slow_start_min_share
+                + (1 - deployment.slow_start_min_share) * (at - begun) / deployment.slow_start_s,
+            )
+            expected = (
+                deployment.overload_factor
+                * capacity_share
+                * deployment.server_rate_per_s
+                * deployment.overload_window_s
+            )
+            allowed = expected + (3 * sqrt(expected) + 3 if expected < 30 else 2 * sqrt(expected) + 2)
+            if index + 1 - bisect_right(attempt_times, at - deployment.overload_window_s) > allowed:
+                return at
+        return None
+
+    # --- exposure within the cap ---
+
+    def check_exposure(self) -> list[Violation]:
+        deployment, found = self.deployment, []
+        for front in {request.front for request in self.records.requests}:
+            request_times = sorted(
+                request.sent for request in self.records.requests if request.front == front
+            )
+            trial_attempt_times: dict[int, list[float]] = defaultdict(list)
+            for attempt in self.records.attempts:
+                build = self.known_states.build(front, attempt.server, attempt.whole)
+                if self.front_of(attempt) != front or not self.on_trial(front, build, attempt.whole):
+                    continue
+                attempt_times = trial_attempt_times[build]
+                attempt_times.append(attempt.whole)
+                recent_requests = bisect_right(request_times, attempt.whole) - bisect_right(
+                    request_times, attempt.whole - deployment.exposure_window_s
+                )
+                recent_attempts = len(attempt_times) - bisect_right(
+                    attempt_times, attempt.whole - deployment.exposure_window_s
+                )
+                cap = self.cap(front, build, attempt.whole)
+                allowed = (
+                    deployment.free_attempts
+                    + EXPOSURE_FREE_ATTEMPTS
+                    + (cap + EXPOSURE_EXTRA_SHARE) * recent_requests
+                )
+                if recent_attempts > allowed:
+                    what = f"{front}: {recent_attempts} attempts of build {build}, {allowed:.1f} allowed"
+                    found.append(Violation("exposure", attempt.whole, what))
+        return found
+
+    def stage(self, front: str, at: float) -> StageRecord | None:
+        updates = [s for s in self.records.stages if s.front == front and s.at <= at]
+        return updates[-1] if updates else None
+
+    def on_trial(self, front: str, build: int, at: float) -> bool:
+        stage = self.stage(front, at)
+        if stage is None or build < stage.build:
+            return False
+        return build > stage.build or stage.state != "released"
+
+    def cap(self, front: str, build: int, at: float) -> float:
+        """The cap that binds: a lower one from a moment after it was told."""
+        updates = [s for s in self.records.stages if s.front == front and s.at <= at]
+        recent = [
+            s
+            for s in updates
+            if s.at > at - CAP_CHANGE_DELAY_S - TIME_SLACK_S - self.deployment.drain_grace_s
+        ]
+        before = [s for s in updates if s not in recent][-1:]
+        caps = [s.cap if s.build == build else self.deployment.stage_caps[0] for s in before + recent]
+        return max(caps, default=self.deployment.stage_caps[0])
+
+    # --- crashes ---
+
+    def check_crashes(self) -> list[Violation]:
+        found = []
+        for process in self.records.lives:
+            ended = process.ended if process.ended is not None else float("inf")
+            if process.exit_code not in (None, 0) and not process.killed:
+                found.append(Violation("crash", ended, f"{process.front} ended with {process.exit_code}"))
+            elif process.exit_code == 0 and process.stopped is None:
+                found.append(Violation("crash", ended, f"{process.front} ended though nobody asked"))
+            if process.ready is None and ended - process.started > READY_TIMEOUT_S:
+                found.append(
+                    Violation(
+                        "crash", process.started + READY_TIMEOUT_S, f"{process.front} never became ready"
+                    )
+                )
+        return found
+
+
+class KnownServerStates:
+    """What each front counts as told of each server, and since when."""
+
+    def __init__(self, records: Records, deployment: Deployment):
+        self.records = records
+        self.known_after_s = PUSHED_CHANGE_KNOWN_AFTER_S if deployment.lists_pushed else CHANGE_KNOWN_AFTER_S
+        self.changes: dict[str, list[ServerChange]] = defaultdict(list)
+        for change in records.changes:
+            self.changes[change.server].append(change)
+        self.written: dict[str, list[tuple[float, int]]] = defaultdict(list)
+        for delivery in records.written:
+            self.written[delivery.front].append((delivery.at, delivery.version))
+        self.known_at_cache: dict[tuple[str, int], float] = {}
+
+    def first_reachable(self, at: float) -> float:
+        """The first moment from ``at`` on at which discovery could be reached."""
+        for span in self.records.unreachable:
+            if span.contains(at):
+                return span.end
+        return at
+
+    def known_at(self, front: str, change: ServerChange) -> float:
+        """When this front counts as told of a change: written to it, or so long after it could have been."""
+        key = (front, change.version)
+        if key not in self.known_at_cache:
+            written = [at for at, version in self.written[front] if version >= change.version]
+            latest = self.first_reachable(change.at) + self.known_after_s
+            self.known_at_cache[key] = min([latest, *written])
+        return self.known_at_cache[key]
+
+    def draining_since(self, front: str, server: str, at: float) -> float | None:
+        """Since when the front counts as told that this server drains or is gone; None where it is open."""
+        since = None
+        for change in self.changes[server]:
+            known_at = self.known_at(front, change)
+            if known_at > at:
+                continue
+            if change.lifecycle == IN_SERVICE:
+                since = None
+            elif since is None:
+                since = known_at
+        return since
+
+    def build(self, front: str, server: str, at: float) -> int:
+        """The build that this server counts as running, for a front."""
+        changes = self.changes[server]
+        known_changes = [c for c in changes if self.known_at(front, c) + BUILD_CHANGE_DELAY_S <= at]
+        return (known_changes or changes)[-1 if known_changes else 0].build
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -4,7 +4,7 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-SAFE_CLASS, UNSAFE_CLASS = "lookup", "booking"
+SAFE_ROUTE, UNSAFE_ROUTE = "lookup", "booking"
 TENANT = "acme"
 FIRST_BUILD = 41
 
@@ -15,49 +15,54 @@
 
     fronts: int = 3
     servers: int = 6
-    pushed: bool = False  # whether lists are pushed; they are asked for otherwise
-    grace_s: float = 0.25
-    ask_every_s: float = 10.0
+    lists_pushed: bool = False  # whether lists are pushed; they are asked for otherwise
+    drain_grace_s: float = 0.25
+    max_poll_interval_s: float = 10.0
     deadline_s: float = 2.0
-    cold_s: float = 2.0
-    cold_share: float = 0.4
+    slow_start_s: float = 2.0
+    slow_start_min_share: float = 0.4
     overload_factor: float = 2.0
-    fall_s: float = 2.0
-    server_rate: float = 60.0  # requests a second that one warm server bears
-    caps: tuple[float, ...] = (0.15, 0.5, 1.0)
-    span_s: float = 2.0
-    free: float = 1.0
-    sockets: int = 384
-    idle_close_s: float = 15.0
+    overload_window_s: float = 2.0
+    server_rate_per_s: float = 60.0  # requests a second that one warm server bears
+    stage_caps: tuple[float, ...] = (0.15, 0.5, 1.0)
+    exposure_window_s: float = 2.0
+    free_attempts: float = 1.0
+    max_sockets: int = 384
+    idle_timeout_s: float = 15.0
 
     def settings(self) -> dict[str, object]:
-        deadline = int(self.deadline_s * NS_PER_S)
-        lane = {"dedup_window": deadline, "on_time": deadline // 3, "give_up": deadline, "late_worth": 0.1}
-        obligations = {
-            "drain_grace": int(self.grace_s * NS_PER_S),
-            "cold": int(self.cold_s * NS_PER_S),
-            "cold_share": self.cold_share,
+        deadline_ns = int(self.deadline_s * NS_PER_S)
+        route = {
+            "dedup_window": deadline_ns,
+            "on_time": deadline_ns // 3,
+            "give_up": deadline_ns,
+            "late_worth": 0.1,
+        }
+        server_rules = {
+            "drain_grace": int(self.drain_grace_s * NS_PER_S),
+            "cold": int(self.slow_start_s * NS_PER_S),
+            "cold_share": self.slow_start_min_share,
             "overload_factor": self.overload_factor,
-            "fall": int(self.fall_s * NS_PER_S),
+            "fall": int(self.overload_window_s * NS_PER_S),
         }
-        if not self.pushed:
-            obligations["ask_every"] = int(self.ask_every_s * NS_PER_S)
+        if not self.lists_pushed:
+            server_rules["ask_every"] = int(self.max_poll_interval_s * NS_PER_S)
         return {
             "balancers": self.fronts,
             "zone": 0,
             "zones": ["here"],
             "kinds": ["small"],
             "lanes": [
-                lane | {"name": SAFE_CLASS, "effect": "repeatable", "worth": 1.0},
-                lane | {"name": UNSAFE_CLASS, "effect": "once", "worth": 2.0},
+                route | {"name": SAFE_ROUTE, "effect": "repeatable", "worth": 1.0},
+                route | {"name": UNSAFE_ROUTE, "effect": "once", "worth": 2.0},
             ],
             "tenants": [{"name": TENANT, "share": 1.0, "quota_per_s": 1000.0}],
-            "obligations": obligations,
+            "obligations": server_rules,
             "specifics": {
-                "stage_cap": list(self.caps),
-                "span": int(self.span_s * NS_PER_S),
+                "stage_cap": list(self.stage_caps),
+                "span": int(self.exposure_window_s * NS_PER_S),
                 "answer_wait": NS_PER_S,
-                "free": self.free,
+                "free": self.free_attempts,
                 "votes_to_go": 1,
                 "noes_needed": 1,
                 "calls_per_s": 10.0,
@@ -71,34 +76,34 @@
                 "retry_after": True,
                 "max_retry_after": 500 * NS_PER_MS,
                 "connect_timeout": 250 * NS_PER_MS,
-                "idle_close": int(self.idle_close_s * NS_PER_S),
+                "idle_close": int(self.idle_timeout_s * NS_PER_S),
             },
             "prices": {"handshake": 0.08},
-            "registry_mode": "pushed" if self.pushed else "on_request",
+            "registry_mode": "pushed" if self.lists_pushed else "on_request",
             "report": {"columns": ["active"]},
         }
 
 
 @dataclass(slots=True)
-class Configuration:
+class NodeConfig:
     """The file that one process of a front reads."""
 
     name: str
-    listen: str
-    discovery: str
-    platform: str
+    listen_address: str
+    discovery_address: str
+    platform_address: str
     seed: str
-    known: dict[str, object]
-    news: dict[str, object] = field(default_factory=dict)
+    server_list: dict[str, object]
+    stage_update: dict[str, object] = field(default_factory=dict)
 
     def document(self, deployment: Deployment) -> dict[str, object]:
         return {
             "name": self.name,
-            "listen": self.listen,
-            "discovery": self.discovery,
+            "listen": self.listen_address,
+            "discovery": self.discovery_address,
             "seed": self.seed,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": deployment.sockets},
-            "platform": {"address": self.platform, "news": self.news},
-            "known": self.known,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": deployment.max_sockets},
+            "platform": {"address": self.platform_address, "news": self.stage_update},
+            "known": self.server_list,
             "settings": deployment.settings(),
         }
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -12,25 +12,34 @@
 from gevent import socket
 from gevent.event import Event
 
-from soak.records import Change, Records, Span, Written
+from soak.http_wire import (
+    STREAM_RESPONSE_HEAD,
+    ConnectionEnded,
+    MessageReader,
+    address_of,
+    encode_chunk,
+    open_listener,
+    reset_connection,
+    response,
+)
+from soak.records import ListDelivery, Records, ServerChange, TimeSpan
 from soak.servers import Server
-from soak.wire import STREAM_HEAD, Ended, Reader, address, answer, chunk, listener, reset
 
-SIGN_S = 2.0  # an empty line comes so often while nothing changes
-TARGETS = "/api/targets"
+HEARTBEAT_INTERVAL_S = 2.0  # an empty line comes so often while nothing changes
+TARGETS_PATH = "/api/targets"
 
 
 @dataclass(slots=True)
-class Call:
+class DiscoveryCall:
     front: str
     sock: socket.socket
-    after: int
-    watch: bool
-    over: bool = False  # it was answered or given up
+    after_version: int
+    is_watch: bool
+    finished: bool = False  # it was answered or given up
 
 
 @dataclass(slots=True)
-class Watch:
+class WatchStream:
     front: str
     sock: socket.socket
     version: int
@@ -40,47 +49,49 @@
 class Discovery:
     """``call_s`` is how long one call takes it. ``refusal_cost_s``: what a call that is turned away costs."""
 
-    def __init__(self, host: str, servers: dict[str, Server], records: Records, call_s: float = 0.005):
+    def __init__(
+        self, host: str, servers: dict[str, Server], records: Records, call_duration_s: float = 0.005
+    ):
         self.host, self.servers, self.records = host, servers, records
-        self.call_s, self.refusal_cost_s, self.timeout_s = call_s, 0.0, 2.0
+        self.call_duration_s, self.rejection_cost_s, self.queue_timeout_s = call_duration_s, 0.0, 2.0
         self.version = 1
-        self.lifecycle = dict.fromkeys(servers, "in_service")
-        self.changed = dict.fromkeys(servers, 1)  # the version that each server last changed in
+        self.lifecycles = dict.fromkeys(servers, "in_service")
+        self.changed_in_version = dict.fromkeys(servers, 1)  # the version that each server last changed in
         self.down_since: float | None = None
-        self.indented, self.late_s = False, 0.0
-        self.queue: deque[Call] = deque()  # emptied by ``work``
-        self.some = Event()
-        self.watches: list[Watch] = []  # emptied as each ends
-        self.ports: dict[str, socket.socket] = {}
-        self.sent_bytes = 0  # of lists
-        self.crowd_until = 0.0  # until then others' calls fill the queue
+        self.indented_json, self.push_delay_s = False, 0.0
+        self.queue: deque[DiscoveryCall] = deque()  # emptied by ``work``
+        self.queue_filled = Event()
+        self.watches: list[WatchStream] = []  # emptied as each ends
+        self.listeners: dict[str, socket.socket] = {}
+        self.sent_list_bytes = 0  # of lists
+        self.crowded_until = 0.0  # until then others' calls fill the queue
         for name in servers:
-            self.note(name)
-        self.workers = [gevent.spawn(self.work), gevent.spawn(self.signs)]
+            self.record_change(name)
+        self.workers = [gevent.spawn(self.serve_queue), gevent.spawn(self.send_heartbeats)]
 
     # --- what changes ---
 
-    def note(self, name: str) -> None:
+    def record_change(self, name: str) -> None:
         server = self.servers[name]
-        lifecycle, at = self.lifecycle[name], monotonic()
-        change = Change(self.version, at, name, lifecycle, server.build, server.started_ms)
+        lifecycle, at = self.lifecycles[name], monotonic()
+        change = ServerChange(self.version, at, name, lifecycle, server.build, server.started_ms)
         self.records.changes.append(change)
 
-    def change(self, lifecycle: str, *names: str) -> None:
+    def set_lifecycle(self, lifecycle: str, *names: str) -> None:
         """A new version in which these servers stand so."""
         self.version += 1
         for name in names:
-            self.lifecycle[name], self.changed[name] = lifecycle, self.version
-            self.note(name)
-        gevent.spawn_later(self.late_s, self.push)
+            self.lifecycles[name], self.changed_in_version[name] = lifecycle, self.version
+            self.record_change(name)
+        gevent.spawn_later(self.push_delay_s, self.push)
 
     def push(self) -> None:
         if self.down_since is not None:
             return
         for watch in list(self.watches):
-            self.write(watch)
+            self.write_list(watch)
 
-    def entry(self, name: str) -> dict[str, object]:
+    def server_entry(self, name: str) -> dict[str, object]:
         server = self.servers[name]
         return {
             "instanceId": name,
@@ -88,167 +99,177 @@
             "zone": "here",
             "machineType": "small",
             "cell": 0,
-            "lifecycle": self.lifecycle[name],
+            "lifecycle": self.lifecycles[name],
             "weight": 1.0,
             "startedAtMs": server.started_ms,
             "version_no": server.build,
         }
 
-    def document(self, after: int | None) -> dict[str, object]:
+    def list_document(self, after_version: int | None) -> dict[str, object]:
         """What changed after a version, or the whole list for None: servers that have gone are not in it."""
-        if after is None or after > self.version:
-            names = [n for n, lifecycle in self.lifecycle.items() if lifecycle != "terminated"]
-            return {"generation": self.version, "reset": True, "instances": [self.entry(n) for n in names]}
-        names = [n for n, version in self.changed.items() if version > after]
-        return {"generation": self.version, "reset": False, "instances": [self.entry(n) for n in names]}
+        if after_version is None or after_version > self.version:
+            names = [n for n, lifecycle in self.lifecycles.items() if lifecycle != "terminated"]
+            return {
+                "generation": self.version,
+                "reset": True,
+                "instances": [self.server_entry(n) for n in names],
+            }
+        names = [n for n, version in self.changed_in_version.items() if version > after_version]
+        return {
+            "generation": self.version,
+            "reset": False,
+            "instances": [self.server_entry(n) for n in names],
+        }
 
-    def line(self, after: int | None) -> bytes:
-        option = orjson.OPT_INDENT_2 if self.indented else None
-        return orjson.dumps(self.document(after), option=option) + b"\n"
+    def list_line(self, after_version: int | None) -> bytes:
+        option = orjson.OPT_INDENT_2 if self.indented_json else None
+        return orjson.dumps(self.list_document(after_version), option=option) + b"\n"
 
     # --- trouble ---
 
     def crowd(self, seconds: float) -> None:
         """Others' calls fill the queue for so long."""
-        self.crowd_until = monotonic() + seconds
+        self.crowded_until = monotonic() + seconds
 
     def go_down(self) -> None:
         self.down_since = monotonic()
         for watch in self.watches:
-            reset(watch.sock)
+            reset_connection(watch.sock)
         self.watches = []
 
-    def come_back(self) -> None:
+    def recover(self) -> None:
         if self.down_since is not None:
-            self.records.unreachable.append(Span(self.down_since, monotonic()))
+            self.records.unreachable.append(TimeSpan(self.down_since, monotonic()))
         self.down_since = None
 
-    def fall_silent(self) -> None:
+    def silence_watches(self) -> None:
         for watch in self.watches:
             watch.silent = True
 
     def reset_watches(self) -> None:
         for watch in self.watches:
-            reset(watch.sock)
+            reset_connection(watch.sock)
         self.watches = []
 
     # --- serving ---
 
-    def port(self, front: str) -> str:
+    def new_address(self, front: str) -> str:
         """The address at which this front reaches discovery from now on."""
-        sock = listener(self.host)
-        old = self.ports.get(front)
-        self.ports[front] = sock
-        gevent.spawn(self.accept, front, sock)
-        if old is not None:
-            gevent.spawn_later(1.5, old.close)
-        return address(sock)
-
-    def accept(self, front: str, listening: socket.socket) -> None:
+        sock = open_listener(self.host)
+        previous = self.listeners.get(front)
+        self.listeners[front] = sock
+        gevent.spawn(self.accept_connections, front, sock)
+        if previous is not None:
+            gevent.spawn_later(1.5, previous.close)
+        return address_of(sock)
+
+    def accept_connections(self, front: str, listener: socket.socket) -> None:
         while True:
             try:
-                sock, _ = listening.accept()
+                sock, _ = listener.accept()
             except OSError:
                 return
-            gevent.spawn(self.read, front, sock)
+            gevent.spawn(self.read_call, front, sock)
 
-    def read(self, front: str, sock: socket.socket) -> None:
+    def read_call(self, front: str, sock: socket.socket) -> None:
         try:
-            target = Reader(sock, monotonic).message().line[1]
-        except (Ended, OSError):
+            target = MessageReader(sock, monotonic).read_message().start_line[1]
+        except (ConnectionEnded, OSError):
             sock.close()
             return
         path, _, query = target.partition("?")
-        fields = dict(pair.partition("=")[::2] for pair in query.split("&"))
-        if path != TARGETS:
-            sock.sendall(answer(404))
+        parameters = dict(pair.partition("=")[::2] for pair in query.split("&"))
+        if path != TARGETS_PATH:
+            sock.sendall(response(404))
             return
-        call = Call(front, sock, int(fields.get("after", "-1")), "watch" in fields)
-        if self.full():
-            gevent.sleep(self.refusal_cost_s)
-            self.refuse(call)
+        call = DiscoveryCall(front, sock, int(parameters.get("after", "-1")), "watch" in parameters)
+        if self.queue_full():
+            gevent.sleep(self.rejection_cost_s)
+            self.reject(call)
             return
         self.queue.append(call)
-        self.some.set()
-        gevent.spawn_later(self.timeout_s, self.give_up, call)
+        self.queue_filled.set()
+        gevent.spawn_later(self.queue_timeout_s, self.time_out, call)
 
-    def full(self) -> bool:
-        return len(self.queue) * self.call_s > self.timeout_s or monotonic() < self.crowd_until
+    def queue_full(self) -> bool:
+        return (
+            len(self.queue) * self.call_duration_s > self.queue_timeout_s or monotonic() < self.crowded_until
+        )
 
-    def give_up(self, call: Call) -> None:
-        if not call.over:
-            self.refuse(call)
+    def time_out(self, call: DiscoveryCall) -> None:
+        if not call.finished:
+            self.reject(call)
 
-    def refuse(self, call: Call) -> None:
+    def reject(self, call: DiscoveryCall) -> None:
         with contextlib.suppress(OSError):
-            call.sock.sendall(answer(503, Connection="close"))
+            call.sock.sendall(response(503, Connection="close"))
         call.sock.close()
-        call.over = True
+        call.finished = True
 
-    def work(self) -> None:
+    def serve_queue(self) -> None:
         while True:
             while not self.queue:
-                self.some.clear()
-                self.some.wait()
+                self.queue_filled.clear()
+                self.queue_filled.wait()
             if self.down_since is not None:
                 self.queue.clear()
                 continue
             # Given up on or not, a call costs its turn: the service does not know that its caller has gone.
-            gevent.sleep(self.call_s)
-            if self.queue and not self.queue[0].over:
-                self.take(self.queue[0])
+            gevent.sleep(self.call_duration_s)
+            if self.queue and not self.queue[0].finished:
+                self.serve_call(self.queue[0])
             if self.queue:
                 self.queue.popleft()
 
-    def take(self, call: Call) -> None:
-        call.over = True
-        after = call.after if 0 <= call.after <= self.version else None
+    def serve_call(self, call: DiscoveryCall) -> None:
+        call.finished = True
+        after_version = call.after_version if 0 <= call.after_version <= self.version else None
         try:
-            if not call.watch:
-                call.sock.sendall(answer(200, self.line(None)))
+            if not call.is_watch:
+                call.sock.sendall(response(200, self.list_line(None)))
                 call.sock.close()
-                self.records.written.append(Written(call.front, monotonic(), self.version))
+                self.records.written.append(ListDelivery(call.front, monotonic(), self.version))
                 return
-            call.sock.sendall(STREAM_HEAD)
-            watch = Watch(call.front, call.sock, -1 if after is None else after)
+            call.sock.sendall(STREAM_RESPONSE_HEAD)
+            watch = WatchStream(call.front, call.sock, -1 if after_version is None else after_version)
             self.watches.append(watch)
-            self.write(watch, first=True)
+            self.write_list(watch, first=True)
         except OSError:
             call.sock.close()
 
-    def write(self, watch: Watch, first: bool = False) -> None:
+    def write_list(self, watch: WatchStream, first: bool = False) -> None:
         if watch.silent or (watch.version >= self.version and not first):
             return
-        line = self.line(None if watch.version < 0 else watch.version)
+        line = self.list_line(None if watch.version < 0 else watch.version)
         try:
             watch.sock.settimeout(1.0)
-            watch.sock.sendall(chunk(line))
-            self.sent_bytes += len(line)
+            watch.sock.sendall(encode_chunk(line))
+            self.sent_list_bytes += len(line)
         except OSError:
-            self.end(watch)
+            self.close_watch(watch)
             return
         watch.version = self.version
-        self.records.written.append(Written(watch.front, monotonic(), self.version))
+        self.records.written.append(ListDelivery(watch.front, monotonic(), self.version))
 
-    def end(self, watch: Watch) -> None:
+    def close_watch(self, watch: WatchStream) -> None:
         watch.sock.close()
         if watch in self.watches:
             self.watches.remove(watch)
 
-    def signs(self) -> None:
+    def send_heartbeats(self) -> None:
         while True:
-            gevent.sleep(SIGN_S)
+            gevent.sleep(HEARTBEAT_INTERVAL_S)
             for watch in list(self.watches):
                 if watch.silent:
                     continue
                 try:
-                    watch.sock.sendall(chunk(b"\n"))
+                    watch.sock.sendall(encode_chunk(b"\n"))
                 except OSError:
-                    self.end(watch)
+                    self.close_watch(watch)
 
     def close(self) -> None:
         for worker in self.workers:
             worker.kill()
-        for sock in self.ports.values():
+        for sock in self.listeners.values():
             sock.close()
         self.reset_watches()
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -7,288 +7,288 @@
 from random import Random
 
 from soak.deployment import FIRST_BUILD
-from soak.play import Play
-from soak.servers import Mode
-from soak.shim import ERRORS, Call
+from soak.run import SoakRun
+from soak.servers import ServerMode
+from soak.shim import ERRNOS, SystemCall
 
-Act = Callable[[Play, Random, float], None]
-OUTAGE_S = (1.0, 9.0)
-SHORT_S = (0.3, 2.0)
+FaultPlan = Callable[[SoakRun, Random, float], None]
+OUTAGE_RANGE_S = (1.0, 9.0)
+SHORT_OUTAGE_RANGE_S = (0.3, 2.0)
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
     name: str
-    presses_on: str  # the rule
-    plan: Act  # sets what happens from a moment of the play on
+    targeted_rule: str  # the rule
+    plan: FaultPlan  # sets what happens from a moment of the play on
 
 
 FAULTS: list[Fault] = []
 
 
-def fault(presses_on: str) -> Callable[[Act], Act]:
-    def keep(plan: Act) -> Act:
-        FAULTS.append(Fault(plan.__name__, presses_on, plan))
+def register_fault(targeted_rule: str) -> Callable[[FaultPlan], FaultPlan]:
+    def register(plan: FaultPlan) -> FaultPlan:
+        FAULTS.append(Fault(plan.__name__, targeted_rule, plan))
         return plan
 
-    return keep
+    return register
 
 
-def some(play: Play, random: Random, share: float) -> list[str]:
+def some_servers(run: SoakRun, random: Random, share: float) -> list[str]:
     """Names of some servers, at least one and never all."""
-    names = sorted(play.servers)
-    most = max(1, min(len(names) - 1, int(share * len(names))))
-    return random.sample(names, random.randint(1, most))
+    names = sorted(run.servers)
+    max_count = max(1, min(len(names) - 1, int(share * len(names))))
+    return random.sample(names, random.randint(1, max_count))
 
 
-def stop_and_restart(play: Play, index: int, seconds: float) -> None:
+def stop_and_restart(run: SoakRun, index: int, seconds: float) -> None:
     """SIGTERM, SIGKILL at the page's earliest if it still runs, then a new process."""
-    front = play.fronts[index]
+    front = run.fronts[index]
     front.signal(signal.SIGTERM)
 
-    def end() -> None:
+    def kill_and_restart() -> None:
         front.signal(signal.SIGKILL)
-        front.wait(5.0)
-        front.note_end()
-        play.restart(front)
+        front.wait_for_exit(5.0)
+        front.record_process()
+        run.restart_front(front)
 
-    play.later(seconds, end)
+    run.call_later(seconds, kill_and_restart)
 
 
 # --- processes ---
 
 
-@fault("lost")
-def planned_restart(play: Play, random: Random, at: float) -> None:
-    longest = max(3.0, play.deployment.deadline_s) + 0.7
-    play.after(at, stop_and_restart, play, random.randrange(len(play.fronts)), longest)
+@register_fault("lost")
+def planned_restart(run: SoakRun, random: Random, at: float) -> None:
+    kill_delay_s = max(3.0, run.deployment.deadline_s) + 0.7
+    run.schedule_fault(at, stop_and_restart, run, random.randrange(len(run.fronts)), kill_delay_s)
 
 
-@fault("lost")
-def signals_in_series(play: Play, random: Random, at: float) -> None:
-    front = random.choice(play.fronts)
+@register_fault("lost")
+def signals_in_series(run: SoakRun, random: Random, at: float) -> None:
+    front = random.choice(run.fronts)
     for _ in range(random.randint(3, 8)):
-        number = random.choice((signal.SIGHUP, signal.SIGUSR1))
-        play.after(at + random.uniform(0.0, 0.3), front.signal, number)
+        signal_number = random.choice((signal.SIGHUP, signal.SIGUSR1))
+        run.schedule_fault(at + random.uniform(0.0, 0.3), front.signal, signal_number)
 
 
-@fault("crash")
-def signals_before_ready(play: Play, random: Random, at: float) -> None:
-    front = random.choice(play.fronts)
+@register_fault("crash")
+def signals_before_ready(run: SoakRun, random: Random, at: float) -> None:
+    front = random.choice(run.fronts)
 
-    def begin() -> None:
+    def kill_and_restart() -> None:
         front.kill()
-        play.restart(front)
+        run.restart_front(front)
 
-    play.after(at, begin)
+    run.schedule_fault(at, kill_and_restart)
     for _ in range(4):
-        play.after(
+        run.schedule_fault(
             at + random.uniform(0.05, 1.0), front.signal, random.choice((signal.SIGHUP, signal.SIGUSR1))
         )
 
 
-@fault("lost")
-def outright_kill(play: Play, random: Random, at: float) -> None:
-    for front in random.sample(play.fronts, max(1, int(0.7 * len(play.fronts)))):
+@register_fault("lost")
+def outright_kill(run: SoakRun, random: Random, at: float) -> None:
+    for front in random.sample(run.fronts, max(1, int(0.7 * len(run.fronts)))):
 
-        def again(front=front) -> None:
+        def kill_and_restart(front=front) -> None:
             front.kill()
-            play.restart(front)
+            run.restart_front(front)
 
-        play.after(at, again)
+        run.schedule_fault(at, kill_and_restart)
 
 
-@fault("drain")
-def process_held(play: Play, random: Random, at: float) -> None:
-    front = random.choice(play.fronts)
+@register_fault("drain")
+def process_held(run: SoakRun, random: Random, at: float) -> None:
+    front = random.choice(run.fronts)
     for n in range(5):
-        play.after(at + n, front.signal, signal.SIGSTOP)
-        play.after(at + n + random.uniform(0.02, 0.15), front.signal, signal.SIGCONT)
+        run.schedule_fault(at + n, front.signal, signal.SIGSTOP)
+        run.schedule_fault(at + n + random.uniform(0.02, 0.15), front.signal, signal.SIGCONT)
 
 
-@fault("drain")
-def moved_addresses(play: Play, random: Random, at: float) -> None:
-    front = random.choice(play.fronts)
+@register_fault("drain")
+def moved_addresses(run: SoakRun, random: Random, at: float) -> None:
+    front = random.choice(run.fronts)
 
-    def move() -> None:
-        play.configure(front)
+    def move_addresses() -> None:
+        run.write_front_config(front)
         front.signal(signal.SIGHUP)
 
     for n in range(random.choice((1, 3))):
-        play.after(at + 0.025 * n, move)
+        run.schedule_fault(at + 0.025 * n, move_addresses)
 
 
 # --- discovery ---
 
 
-@fault("drain")
-def discovery_down(play: Play, random: Random, at: float) -> None:
-    play.after(at, play.discovery.go_down)
-    play.after(at + random.uniform(*OUTAGE_S), play.discovery.come_back)
+@register_fault("drain")
+def discovery_down(run: SoakRun, random: Random, at: float) -> None:
+    run.schedule_fault(at, run.discovery.go_down)
+    run.schedule_fault(at + random.uniform(*OUTAGE_RANGE_S), run.discovery.recover)
 
 
-@fault("drain")
-def discovery_crowded(play: Play, random: Random, at: float) -> None:
-    def crowd(seconds: float) -> None:
-        play.discovery.crowd(seconds)
+@register_fault("drain")
+def discovery_crowded(run: SoakRun, random: Random, at: float) -> None:
+    def fill_queue(seconds: float) -> None:
+        run.discovery.crowd(seconds)
 
-    play.after(at, play.discovery.reset_watches)
-    play.after(at, crowd, random.uniform(*OUTAGE_S))
+    run.schedule_fault(at, run.discovery.reset_watches)
+    run.schedule_fault(at, fill_queue, random.uniform(*OUTAGE_RANGE_S))
 
 
-@fault("drain")
-def watches_reset(play: Play, random: Random, at: float) -> None:
-    play.after(at, play.discovery.reset_watches)
+@register_fault("drain")
+def watches_reset(run: SoakRun, random: Random, at: float) -> None:
+    run.schedule_fault(at, run.discovery.reset_watches)
 
 
-@fault("drain")
-def watches_silent(play: Play, random: Random, at: float) -> None:
-    play.after(at, play.discovery.fall_silent)
+@register_fault("drain")
+def watches_silent(run: SoakRun, random: Random, at: float) -> None:
+    run.schedule_fault(at, run.discovery.silence_watches)
 
 
-@fault("drain")
-def lists_indented(play: Play, random: Random, at: float) -> None:
-    play.after(at, setattr, play.discovery, "indented", True)
-    play.after(at + 1.0, play.discovery.reset_watches)
-    play.after(at + 3.0, play.drain, sorted(play.servers)[-1])
+@register_fault("drain")
+def lists_indented(run: SoakRun, random: Random, at: float) -> None:
+    run.schedule_fault(at, setattr, run.discovery, "indented_json", True)
+    run.schedule_fault(at + 1.0, run.discovery.reset_watches)
+    run.schedule_fault(at + 3.0, run.drain_servers, sorted(run.servers)[-1])
 
 
-@fault("drain")
-def servers_drain(play: Play, random: Random, at: float) -> None:
-    names = some(play, random, 0.5)
-    play.after(at, play.drain, *names)
-    play.after(at + random.uniform(2.0, 5.0), play.bring_back, FIRST_BUILD, *names)
+@register_fault("drain")
+def servers_drain(run: SoakRun, random: Random, at: float) -> None:
+    names = some_servers(run, random, 0.5)
+    run.schedule_fault(at, run.drain_servers, *names)
+    run.schedule_fault(at + random.uniform(2.0, 5.0), run.restart_servers, FIRST_BUILD, *names)
 
 
-@fault("failback")
-def dozens_start_cold(play: Play, random: Random, at: float) -> None:
-    names = some(play, random, 0.6)
-    play.after(at, play.drain, *names)
-    play.after(at + 1.5, play.bring_back, FIRST_BUILD, *names)
+@register_fault("failback")
+def dozens_start_cold(run: SoakRun, random: Random, at: float) -> None:
+    names = some_servers(run, random, 0.6)
+    run.schedule_fault(at, run.drain_servers, *names)
+    run.schedule_fault(at + 1.5, run.restart_servers, FIRST_BUILD, *names)
 
 
 # --- the platform ---
 
 
-@fault("exposure")
-def trial_and_back(play: Play, random: Random, at: float) -> None:
-    names, build, caps = some(play, random, 0.3), FIRST_BUILD + 1, play.deployment.caps
-    play.after(at, play.platform.move, build, 0, "trial", caps[0])
-    play.after(at, play.drain, *names)
-    play.after(at + 1.2, play.bring_back, build, *names)
-    play.after(at + 4.0, play.platform.move, build, 0, "rolling_back", 0.0)
-    play.after(at + 4.5, play.drain, *names)
-    play.after(at + 6.0, play.bring_back, FIRST_BUILD, *names)
-    play.after(at + 6.5, play.platform.move, build, 0, "withdrawn", 0.0)
+@register_fault("exposure")
+def trial_and_back(run: SoakRun, random: Random, at: float) -> None:
+    names, build, caps = some_servers(run, random, 0.3), FIRST_BUILD + 1, run.deployment.stage_caps
+    run.schedule_fault(at, run.platform.set_stage, build, 0, "trial", caps[0])
+    run.schedule_fault(at, run.drain_servers, *names)
+    run.schedule_fault(at + 1.2, run.restart_servers, build, *names)
+    run.schedule_fault(at + 4.0, run.platform.set_stage, build, 0, "rolling_back", 0.0)
+    run.schedule_fault(at + 4.5, run.drain_servers, *names)
+    run.schedule_fault(at + 6.0, run.restart_servers, FIRST_BUILD, *names)
+    run.schedule_fault(at + 6.5, run.platform.set_stage, build, 0, "withdrawn", 0.0)
 
 
-@fault("exposure")
-def bulletins_reset(play: Play, random: Random, at: float) -> None:
-    play.after(at, play.platform.reset_bulletins)
+@register_fault("exposure")
+def bulletins_reset(run: SoakRun, random: Random, at: float) -> None:
+    run.schedule_fault(at, run.platform.reset_update_streams)
 
 
 # --- servers ---
 
 
-def in_mode(mode: Mode, share: float, seconds: tuple[float, float]) -> Act:
-    def plan(play: Play, random: Random, at: float) -> None:
-        names = some(play, random, share)
-        play.after(at, play.set_mode, mode, *names)
-        play.after(at + random.uniform(*seconds), play.set_mode, Mode.SERVING, *names)
+def server_mode_plan(mode: ServerMode, share: float, seconds: tuple[float, float]) -> FaultPlan:
+    def plan(run: SoakRun, random: Random, at: float) -> None:
+        names = some_servers(run, random, share)
+        run.schedule_fault(at, run.set_server_mode, mode, *names)
+        run.schedule_fault(at + random.uniform(*seconds), run.set_server_mode, ServerMode.SERVING, *names)
 
     return plan
 
 
-@fault("lost")
-def servers_hang(play: Play, random: Random, at: float) -> None:
-    in_mode(Mode.HUNG, 0.5, OUTAGE_S)(play, random, at)
+@register_fault("lost")
+def servers_hang(run: SoakRun, random: Random, at: float) -> None:
+    server_mode_plan(ServerMode.HUNG, 0.5, OUTAGE_RANGE_S)(run, random, at)
 
 
-@fault("duplicate")
-def servers_reset(play: Play, random: Random, at: float) -> None:
-    in_mode(Mode.RESETTING, 0.5, SHORT_S)(play, random, at)
+@register_fault("duplicate")
+def servers_reset(run: SoakRun, random: Random, at: float) -> None:
+    server_mode_plan(ServerMode.RESETTING, 0.5, SHORT_OUTAGE_RANGE_S)(run, random, at)
 
 
-@fault("lost")
-def servers_down(play: Play, random: Random, at: float) -> None:
-    in_mode(Mode.DOWN, 0.5, OUTAGE_S)(play, random, at)
+@register_fault("lost")
+def servers_down(run: SoakRun, random: Random, at: float) -> None:
+    server_mode_plan(ServerMode.DOWN, 0.5, OUTAGE_RANGE_S)(run, random, at)
 
 
-@fault("duplicate")
-def idle_connections_forgotten(play: Play, random: Random, at: float) -> None:
-    def forget() -> None:
-        for server in play.servers.values():
+@register_fault("duplicate")
+def idle_connections_forgotten(run: SoakRun, random: Random, at: float) -> None:
+    def drop_all_connections() -> None:
+        for server in run.servers.values():
             server.drop_connections()
 
-    play.after(at, forget)
+    run.schedule_fault(at, drop_all_connections)
 
 
 # --- clients ---
 
 
-@fault("lost")
-def clients_leave_early(play: Play, random: Random, at: float) -> None:
-    play.after(at, play.set_leaving, 0.3)
-    play.after(at + 4.0, play.set_leaving, 0.0)
+@register_fault("lost")
+def clients_leave_early(run: SoakRun, random: Random, at: float) -> None:
+    run.schedule_fault(at, run.set_leave_share, 0.3)
+    run.schedule_fault(at + 4.0, run.set_leave_share, 0.0)
 
 
-@fault("lost")
-def clients_crowd(play: Play, random: Random, at: float) -> None:
-    play.after(at, play.set_crowd, 4.0)
-    play.after(at + random.uniform(1.0, 3.0), play.set_crowd, 1.0)
+@register_fault("lost")
+def clients_crowd(run: SoakRun, random: Random, at: float) -> None:
+    run.schedule_fault(at, run.set_rate_factor, 4.0)
+    run.schedule_fault(at + random.uniform(1.0, 3.0), run.set_rate_factor, 1.0)
 
 
-@fault("lost")
-def clients_stop_in_the_middle(play: Play, random: Random, at: float) -> None:
-    for front in play.fronts:
-        play.after(at, play.half_request, front)
+@register_fault("lost")
+def clients_stop_in_the_middle(run: SoakRun, random: Random, at: float) -> None:
+    for front in run.fronts:
+        run.schedule_fault(at, run.start_partial_request, front)
 
 
 # --- system calls and clocks ---
 
 
-def call_fails(call: Call) -> Act:
-    def plan(play: Play, random: Random, at: float) -> None:
-        error, per_mille = random.choice(ERRORS[call]), random.choice((50, 200, 1000))
-        for front in play.fronts:
-            play.after(at, front.shim.fail, call, error, per_mille)
-            play.after(at + random.uniform(*SHORT_S), front.shim.mend)
+def failing_call_plan(call: SystemCall) -> FaultPlan:
+    def plan(run: SoakRun, random: Random, at: float) -> None:
+        error, per_mille = random.choice(ERRNOS[call]), random.choice((50, 200, 1000))
+        for front in run.fronts:
+            run.schedule_fault(at, front.shim.fail_call, call, error, per_mille)
+            run.schedule_fault(at + random.uniform(*SHORT_OUTAGE_RANGE_S), front.shim.clear_faults)
 
     plan.__name__ = f"{call.name.lower()}_fails"
     return plan
 
 
-SHIMMED = (
-    (Call.ACCEPT, "lost"),
-    (Call.SOCKET, "lost"),
-    (Call.CONNECT, "duplicate"),
-    (Call.SETSOCKOPT, "lost"),
-    (Call.RECEIVE, "duplicate"),
-    (Call.SEND, "duplicate"),
-    (Call.LOG, "crash"),
-    (Call.POLL, "drain"),
-    (Call.EPOLL, "crash"),
+SHIMMED_CALLS = (
+    (SystemCall.ACCEPT, "lost"),
+    (SystemCall.SOCKET, "lost"),
+    (SystemCall.CONNECT, "duplicate"),
+    (SystemCall.SETSOCKOPT, "lost"),
+    (SystemCall.RECEIVE, "duplicate"),
+    (SystemCall.SEND, "duplicate"),
+    (SystemCall.LOG, "crash"),
+    (SystemCall.POLL, "drain"),
+    (SystemCall.EPOLL, "crash"),
 )
-for shimmed, rule in SHIMMED:
-    fault(rule)(call_fails(shimmed))
+for shimmed, rule in SHIMMED_CALLS:
+    register_fault(rule)(failing_call_plan(shimmed))
 
 
-@fault("duplicate")
-def short_reads_and_writes(play: Play, random: Random, at: float) -> None:
-    for front in play.fronts:
-        play.after(at, front.shim.shorten, 200)
-        play.after(at + random.uniform(*SHORT_S), front.shim.mend)
+@register_fault("duplicate")
+def short_reads_and_writes(run: SoakRun, random: Random, at: float) -> None:
+    for front in run.fronts:
+        run.schedule_fault(at, front.shim.shorten_transfers, 200)
+        run.schedule_fault(at + random.uniform(*SHORT_OUTAGE_RANGE_S), front.shim.clear_faults)
 
 
-@fault("failback")
-def wall_clock_steps(play: Play, random: Random, at: float) -> None:
-    step = random.choice((-3600.0, -5.0, 5.0, 3600.0))
-    for front in play.fronts:
-        play.after(at, front.shim.step_wall_clock, step)
+@register_fault("failback")
+def wall_clock_steps(run: SoakRun, random: Random, at: float) -> None:
+    offset_s = random.choice((-3600.0, -5.0, 5.0, 3600.0))
+    for front in run.fronts:
+        run.schedule_fault(at, front.shim.step_wall_clock, offset_s)
 
 
-@fault("drain")
-def held_after_reading_the_clock(play: Play, random: Random, at: float) -> None:
-    for front in play.fronts:
-        play.after(at, front.shim.hold_after_clock, 150, 2)
-        play.after(at + 2.0, front.shim.mend)
+@register_fault("drain")
+def held_after_reading_the_clock(run: SoakRun, random: Random, at: float) -> None:
+    for front in run.fronts:
+        run.schedule_fault(at, front.shim.pause_after_clock_read, 150, 2)
+        run.schedule_fault(at + 2.0, front.shim.clear_faults)
--- a/soak/fronts.py
+++ b/soak/fronts.py
@@ -12,124 +12,135 @@
 import orjson
 from gevent import socket
 
-from soak.deployment import Configuration, Deployment
-from soak.records import Life, Records
-from soak.shim import Shim, preload
-from soak.wire import Ended, Reader
+from soak.deployment import Deployment, NodeConfig
+from soak.http_wire import ConnectionEnded, MessageReader
+from soak.records import ProcessRecord, Records
+from soak.shim import Shim, with_inherited_preload
 
-ROOT = Path(__file__).resolve().parent.parent
-READY_CALL = b"GET /-/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-READY_PAUSE_S = 0.05
-PYTHON = ".venv/bin/python"  # as the deploy file names it; the soak runs on its own
+PROJECT_ROOT = Path(__file__).resolve().parent.parent
+READY_REQUEST = b"GET /-/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
+READY_POLL_INTERVAL_S = 0.05
+DEPLOYED_PYTHON = ".venv/bin/python"  # as the deploy file names it; the soak runs on its own
 
 
-def command() -> list[str]:
+def start_command() -> list[str]:
     """How operators start a front: ``run`` of the deploy file, by the shell."""
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    return ["/bin/sh", "-c", deploy["run"].replace(PYTHON, sys.executable)]
+    deploy = tomllib.loads((PROJECT_ROOT / "deploy" / "balancer.toml").read_text())
+    return ["/bin/sh", "-c", deploy["run"].replace(DEPLOYED_PYTHON, sys.executable)]
 
 
 class Front:
     """One front under one name and address, over all the processes that it has been."""
 
-    def __init__(self, name: str, listen: str, folder: Path, deployment: Deployment, records: Records):
-        self.name, self.listen, self.deployment, self.records = name, listen, deployment, records
-        self.file, self.log = folder / f"{name}.json", folder / f"{name}.log"
+    def __init__(
+        self, name: str, listen_address: str, folder: Path, deployment: Deployment, records: Records
+    ):
+        self.name, self.listen_address, self.deployment, self.records = (
+            name,
+            listen_address,
+            deployment,
+            records,
+        )
+        self.config_path, self.log_path = folder / f"{name}.json", folder / f"{name}.log"
         self.process: subprocess.Popen[bytes] | None = None
-        self.started = 0.0
-        self.ready: float | None = None
-        self.stopped: float | None = None
-        self.killed = False
-        self.kills: list[float] = []  # when each SIGKILL of ours was sent
+        self.started_at = 0.0
+        self.ready_at: float | None = None
+        self.sigterm_at: float | None = None
+        self.sigkill_sent = False
+        self.sigkill_times: list[float] = []  # when each SIGKILL of ours was sent
         self.environment: dict[str, str] = {}
         self.shim: Shim | None = None
-        self.watcher: gevent.Greenlet | None = None
+        self.readiness_task: gevent.Greenlet | None = None
 
     @property
-    def at(self) -> tuple[str, int]:
-        host, _, port = self.listen.rpartition(":")
+    def address(self) -> tuple[str, int]:
+        host, _, port = self.listen_address.rpartition(":")
         return host, int(port)
 
-    def write(self, configuration: Configuration) -> None:
+    def write_config(self, configuration: NodeConfig) -> None:
         """Replaces the configuration file whole, as a deployer does."""
-        draft = self.file.with_suffix(".new")
-        draft.write_bytes(orjson.dumps(configuration.document(self.deployment)))
-        draft.replace(self.file)
+        temporary_path = self.config_path.with_suffix(".new")
+        temporary_path.write_bytes(orjson.dumps(configuration.document(self.deployment)))
+        temporary_path.replace(self.config_path)
 
     def start(self) -> None:
-        environment = preload(os.environ | {"NODE_CONFIG": str(self.file)} | self.environment)
-        self.started, self.ready, self.stopped, self.killed = monotonic(), None, None, False
-        with self.log.open("ab") as log:
+        environment = with_inherited_preload(
+            os.environ | {"NODE_CONFIG": str(self.config_path)} | self.environment
+        )
+        self.started_at, self.ready_at, self.sigterm_at, self.sigkill_sent = monotonic(), None, None, False
+        with self.log_path.open("ab") as log_file:
             self.process = subprocess.Popen(
-                command(),
-                cwd=ROOT,
+                start_command(),
+                cwd=PROJECT_ROOT,
                 env=environment,
                 stdin=subprocess.DEVNULL,
-                stdout=log,
-                stderr=log,
+                stdout=log_file,
+                stderr=log_file,
             )
-        self.watcher = gevent.spawn(self.watch, self.process)
+        self.readiness_task = gevent.spawn(self.poll_readiness, self.process)
 
-    def watch(self, process: "subprocess.Popen[bytes]") -> None:
+    def poll_readiness(self, process: "subprocess.Popen[bytes]") -> None:
         """Notes when this process is ready, as the clients' entry would."""
-        while process.poll() is None and self.ready is None:
-            if self.ask_ready():
-                self.ready = monotonic()
-            gevent.sleep(READY_PAUSE_S)
+        while process.poll() is None and self.ready_at is None:
+            if self.is_ready():
+                self.ready_at = monotonic()
+            gevent.sleep(READY_POLL_INTERVAL_S)
 
-    def ask_ready(self) -> bool:
+    def is_ready(self) -> bool:
         try:
-            with socket.create_connection(self.at, 1.0) as sock:
+            with socket.create_connection(self.address, 1.0) as sock:
                 sock.settimeout(1.0)
-                sock.sendall(READY_CALL)
-                return Reader(sock, monotonic).message().line[1] == "200"
-        except (OSError, Ended):
+                sock.sendall(READY_REQUEST)
+                return MessageReader(sock, monotonic).read_message().start_line[1] == "200"
+        except (OSError, ConnectionEnded):
             return False
 
-    def signal(self, number: int) -> None:
+    def signal(self, signal_number: int) -> None:
         if self.process is None or self.process.poll() is not None:
             return
-        if number == signal.SIGTERM and self.stopped is None:
-            self.stopped = monotonic()
-        if number == signal.SIGKILL:
-            self.killed = True
-            self.kills.append(monotonic())
-            self.forgive()
-        self.process.send_signal(number)
-
-    def forgive(self) -> None:
+        if signal_number == signal.SIGTERM and self.sigterm_at is None:
+            self.sigterm_at = monotonic()
+        if signal_number == signal.SIGKILL:
+            self.sigkill_sent = True
+            self.sigkill_times.append(monotonic())
+            self.excuse_open_requests()
+        self.process.send_signal(signal_number)
+
+    def excuse_open_requests(self) -> None:
         """What a kill finds open is no fault of the front's, unless it had its whole time after SIGTERM."""
         for request in self.records.requests:
             if request.front == self.name and request.outcome is None:
-                late = self.stopped is None or request.sent > self.stopped + 0.7
-                request.front_killed = request.front_killed or late
+                excused = self.sigterm_at is None or request.sent > self.sigterm_at + 0.7
+                request.front_killed = request.front_killed or excused
 
     def killed_within(self, begin: float, end: float) -> bool:
-        return any(begin <= at <= end for at in self.kills)
+        return any(begin <= killed_at <= end for killed_at in self.sigkill_times)
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
-    def wait(self, seconds: float) -> bool:
+    def wait_for_exit(self, seconds: float) -> bool:
         """Whether the process has ended within this time."""
-        end = monotonic() + seconds
-        while self.runs and monotonic() < end:
+        deadline = monotonic() + seconds
+        while self.is_running and monotonic() < deadline:
             gevent.sleep(0.01)
-        return not self.runs
+        return not self.is_running
 
-    def note_end(self) -> None:
+    def record_process(self) -> None:
         """Records the life that has ended, or that the soak ends with."""
         if self.process is None:
             return
-        code, ended = self.process.poll(), None if self.runs else monotonic()
-        life = Life(self.name, self.started, self.ready, ended, code, self.killed, self.stopped)
-        self.records.lives.append(life)
-        if not self.runs:
+        exit_code, ended = self.process.poll(), None if self.is_running else monotonic()
+        process_record = ProcessRecord(
+            self.name, self.started_at, self.ready_at, ended, exit_code, self.sigkill_sent, self.sigterm_at
+        )
+        self.records.lives.append(process_record)
+        if not self.is_running:
             self.process = None
 
     def kill(self) -> None:
         """Ends the process outright; it may be started again at once."""
         self.signal(signal.SIGKILL)
-        self.wait(5.0)
-        self.note_end()
+        self.wait_for_exit(5.0)
+        self.record_process()
--- a/soak/platform.py
+++ b/soak/platform.py
@@ -5,10 +5,19 @@
 import gevent
 from gevent import socket
 
-from soak.records import Records, Stage
-from soak.wire import STREAM_HEAD, Ended, Reader, address, answer, chunk, listener, reset
+from soak.http_wire import (
+    STREAM_RESPONSE_HEAD,
+    ConnectionEnded,
+    MessageReader,
+    address_of,
+    encode_chunk,
+    open_listener,
+    reset_connection,
+    response,
+)
+from soak.records import Records, StageRecord
 
-SIGN_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 
 
 class Platform:
@@ -16,87 +25,87 @@
 
     def __init__(self, host: str, build: int, records: Records):
         self.host, self.records = host, records
-        self.build, self.wave, self.state, self.cap = build, 0, "released", 0.0
-        self.since = monotonic() - 60.0
-        self.bulletins: list[tuple[str, socket.socket]] = []  # emptied as each ends
-        self.ports: dict[str, socket.socket] = {}
-        self.votes = 0
-        self.worker = gevent.spawn(self.signs)
-
-    def news(self) -> dict[str, object]:
-        age = int(1000 * (monotonic() - self.since))
+        self.build, self.stage, self.state, self.cap = build, 0, "released", 0.0
+        self.stage_since = monotonic() - 60.0
+        self.update_streams: list[tuple[str, socket.socket]] = []  # emptied as each ends
+        self.listeners: dict[str, socket.socket] = {}
+        self.vote_count = 0
+        self.heartbeat_loop = gevent.spawn(self.send_heartbeats)
+
+    def stage_fields(self) -> dict[str, object]:
+        age_ms = int(1000 * (monotonic() - self.stage_since))
         names = ("Revision", "Wave", "State", "MaxShare", "AgeMs")
-        return dict(zip(names, (self.build, self.wave, self.state, self.cap, age), strict=True))
+        return dict(zip(names, (self.build, self.stage, self.state, self.cap, age_ms), strict=True))
 
-    def move(self, build: int, wave: int, state: str, cap: float) -> None:
-        self.build, self.wave, self.state, self.cap = build, wave, state, cap
-        self.since = monotonic()
-        for front, sock in list(self.bulletins):
-            self.tell(front, sock)
+    def set_stage(self, build: int, stage: int, state: str, cap: float) -> None:
+        self.build, self.stage, self.state, self.cap = build, stage, state, cap
+        self.stage_since = monotonic()
+        for front, sock in list(self.update_streams):
+            self.send_update(front, sock)
 
-    def tell(self, front: str, sock: socket.socket) -> None:
-        data = "&".join(f"{name}={value}" for name, value in self.news().items())
+    def send_update(self, front: str, sock: socket.socket) -> None:
+        data = "&".join(f"{name}={value}" for name, value in self.stage_fields().items())
         try:
-            sock.sendall(chunk(f"event: progress\ndata: {data}\n\n".encode()))
+            sock.sendall(encode_chunk(f"event: progress\ndata: {data}\n\n".encode()))
         except OSError:
-            self.bulletins.remove((front, sock))
+            self.update_streams.remove((front, sock))
             return
-        self.records.stages.append(Stage(front, monotonic(), self.build, self.state, self.cap))
+        self.records.stages.append(StageRecord(front, monotonic(), self.build, self.state, self.cap))
 
-    def started(self, front: str) -> None:
+    def record_start(self, front: str) -> None:
         """A process begins with this news in its configuration."""
-        self.records.stages.append(Stage(front, monotonic(), self.build, self.state, self.cap))
-
-    def port(self, front: str) -> str:
-        sock = listener(self.host)
-        old = self.ports.get(front)
-        self.ports[front] = sock
-        gevent.spawn(self.accept, front, sock)
-        if old is not None:
-            gevent.spawn_later(1.5, old.close)
-        return address(sock)
-
-    def accept(self, front: str, listening: socket.socket) -> None:
+        self.records.stages.append(StageRecord(front, monotonic(), self.build, self.state, self.cap))
+
+    def new_address(self, front: str) -> str:
+        sock = open_listener(self.host)
+        previous = self.listeners.get(front)
+        self.listeners[front] = sock
+        gevent.spawn(self.accept_connections, front, sock)
+        if previous is not None:
+            gevent.spawn_later(1.5, previous.close)
+        return address_of(sock)
+
+    def accept_connections(self, front: str, listener: socket.socket) -> None:
         while True:
             try:
-                sock, _ = listening.accept()
+                sock, _ = listener.accept()
             except OSError:
                 return
-            gevent.spawn(self.serve, front, sock)
+            gevent.spawn(self.serve_connection, front, sock)
 
-    def serve(self, front: str, sock: socket.socket) -> None:
-        reader = Reader(sock, monotonic)
+    def serve_connection(self, front: str, sock: socket.socket) -> None:
+        reader = MessageReader(sock, monotonic)
         try:
-            message = reader.message()
-            if message.line[1] == "/v1/bulletin":
-                sock.sendall(STREAM_HEAD)
-                self.bulletins.append((front, sock))
-                self.tell(front, sock)
+            message = reader.read_message()
+            if message.start_line[1] == "/v1/bulletin":
+                sock.sendall(STREAM_RESPONSE_HEAD)
+                self.update_streams.append((front, sock))
+                self.send_update(front, sock)
                 return
-            self.votes += 1
-            items = "".join(f"<{name}>{value}</{name}>" for name, value in self.news().items())
+            self.vote_count += 1
+            items = "".join(f"<{name}>{value}</{name}>" for name, value in self.stage_fields().items())
             body = f"<Response><entries><item>{items}</item></entries></Response>"
-            sock.sendall(answer(200, body.encode()))
+            sock.sendall(response(200, body.encode()))
             sock.close()
-        except (Ended, OSError):
+        except (ConnectionEnded, OSError):
             sock.close()
 
-    def signs(self) -> None:
+    def send_heartbeats(self) -> None:
         while True:
-            gevent.sleep(SIGN_S)
-            for front, sock in list(self.bulletins):
+            gevent.sleep(HEARTBEAT_INTERVAL_S)
+            for front, sock in list(self.update_streams):
                 try:
-                    sock.sendall(chunk(b":\n"))
+                    sock.sendall(encode_chunk(b":\n"))
                 except OSError:
-                    self.bulletins.remove((front, sock))
+                    self.update_streams.remove((front, sock))
 
-    def reset_bulletins(self) -> None:
-        for _, sock in self.bulletins:
-            reset(sock)
-        self.bulletins = []
+    def reset_update_streams(self) -> None:
+        for _, sock in self.update_streams:
+            reset_connection(sock)
+        self.update_streams = []
 
     def close(self) -> None:
-        self.worker.kill()
-        self.reset_bulletins()
-        for sock in self.ports.values():
+        self.heartbeat_loop.kill()
+        self.reset_update_streams()
+        for sock in self.listeners.values():
             sock.close()
--- a/soak/records.py
+++ b/soak/records.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class ServerChange:
     """One server as discovery lists it from a version on."""
 
     version: int
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Written:
+class ListDelivery:
     """Discovery wrote everything up to a version to a front; ``whole`` is all that it lists."""
 
     front: str
@@ -69,16 +69,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Span:
+class TimeSpan:
     begin: float
     end: float
 
-    def holds(self, at: float) -> bool:
+    def contains(self, at: float) -> bool:
         return self.begin <= at < self.end
 
 
 @dataclass(slots=True, frozen=True)
-class Stage:
+class StageRecord:
     """What the platform told a front of the newest build."""
 
     front: str
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Life:
+class ProcessRecord:
     """One process of a front: from its start to its end; ``ready`` is None where it never was."""
 
     front: str
@@ -105,10 +105,10 @@
 class Records:
     requests: list[Request] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
-    written: list[Written] = field(default_factory=list)
-    unreachable: list[Span] = field(default_factory=list)  # spans in which discovery could not be reached
-    stages: list[Stage] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
+    changes: list[ServerChange] = field(default_factory=list)
+    written: list[ListDelivery] = field(default_factory=list)
+    unreachable: list[TimeSpan] = field(default_factory=list)  # spans in which discovery could not be reached
+    stages: list[StageRecord] = field(default_factory=list)
+    lives: list[ProcessRecord] = field(default_factory=list)
     neglected: list[tuple[float, str]] = field(default_factory=list)  # bad clients that got no end, and where
     faults: list[tuple[float, str]] = field(default_factory=list)  # what was done and when, for the reader
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -7,11 +7,18 @@
 import gevent
 from gevent import socket
 
+from soak.http_wire import (
+    ConnectionEnded,
+    MessageReader,
+    address_of,
+    open_listener,
+    reset_connection,
+    response,
+)
 from soak.records import Attempt, Records
-from soak.wire import Ended, Reader, address, answer, listener, reset
 
 
-class Mode(StrEnum):
+class ServerMode(StrEnum):
     SERVING = "serving"
     DRAINING = "draining"  # turns new requests away
     HUNG = "hung"  # accepts and reads, answers nothing
@@ -24,76 +31,80 @@
 
     def __init__(self, name: str, host: str, build: int, records: Records, random: Random):
         self.name, self.build, self.records, self.random = name, build, records, random
-        self.host, self.mode = host, Mode.SERVING
+        self.host, self.mode = host, ServerMode.SERVING
         self.started_ms = 0  # Unix time of the last start, 0 for long ago
-        self.work_s = 0.02
-        self.accepted = 0  # connections that it has taken
-        self.connections: set[socket.socket] = set()  # emptied as each closes
-        self.sock = listener(host)
-        self.address = address(self.sock)
-        self.acceptor = gevent.spawn(self.accept)
-
-    def accept(self) -> None:
+        self.mean_service_s = 0.02
+        self.accepted_count = 0  # connections that it has taken
+        self.open_connections: set[socket.socket] = set()  # emptied as each closes
+        self.listener = open_listener(host)
+        self.address = address_of(self.listener)
+        self.accept_loop = gevent.spawn(self.accept_connections)
+
+    def accept_connections(self) -> None:
         while True:
-            sock, _ = self.sock.accept()
-            if self.mode == Mode.DOWN:
-                reset(sock)
+            sock, _ = self.listener.accept()
+            if self.mode == ServerMode.DOWN:
+                reset_connection(sock)
                 continue
-            self.connections.add(sock)
-            self.accepted += 1
-            gevent.spawn(self.serve, sock)
+            self.open_connections.add(sock)
+            self.accepted_count += 1
+            gevent.spawn(self.serve_connection, sock)
 
-    def serve(self, sock: socket.socket) -> None:
-        reader = Reader(sock, monotonic)
+    def serve_connection(self, sock: socket.socket) -> None:
+        reader = MessageReader(sock, monotonic)
         try:
             while True:
-                message = reader.message()
-                if not self.handle(sock, reader, message.fields, message.line[1]):
+                message = reader.read_message()
+                if not self.handle_request(sock, reader, message.headers, message.start_line[1]):
                     return
-        except (Ended, OSError):
+        except (ConnectionEnded, OSError):
             pass
         finally:
-            self.connections.discard(sock)
+            self.open_connections.discard(sock)
             sock.close()
 
-    def handle(self, sock: socket.socket, reader: Reader, fields: dict[str, str], target: str) -> bool:
+    def handle_request(
+        self, sock: socket.socket, reader: MessageReader, headers: dict[str, str], target: str
+    ) -> bool:
         """Whether the connection goes on."""
-        txn = fields.get("x-txn", "")
-        attempt = Attempt(self.name, txn, reader.begun_at, monotonic(), int(fields["x-remaining-ms"]))
+        request_id = headers.get("x-txn", "")
+        attempt = Attempt(
+            self.name, request_id, reader.message_started_at, monotonic(), int(headers["x-remaining-ms"])
+        )
         attempt.build = self.build
         self.records.attempts.append(attempt)
-        if self.mode == Mode.DRAINING:
-            sock.sendall(answer(503, X_Turned_Away="1"))
+        if self.mode == ServerMode.DRAINING:
+            sock.sendall(response(503, X_Turned_Away="1"))
             return True
-        if self.mode == Mode.RESETTING:
+        if self.mode == ServerMode.RESETTING:
             attempt.ran = True
-            reset(sock)
+            reset_connection(sock)
             return False
-        if self.mode == Mode.HUNG:
+        if self.mode == ServerMode.HUNG:
             gevent.sleep(30.0)
             return False
         attempt.ran = True
-        gevent.sleep(self.work_s * self.random.expovariate(1.0))
-        sock.sendall(answer(200, body_of(txn), X_Pressure="TEXT active=1"))
+        gevent.sleep(self.mean_service_s * self.random.expovariate(1.0))
+        sock.sendall(response(200, response_body(request_id), X_Pressure="TEXT active=1"))
         return True
 
     def restart(self, build: int) -> None:
         """Comes back under its name and address: old connections are reset, it is cold."""
         self.drop_connections()
-        self.build, self.mode = build, Mode.SERVING
+        self.build, self.mode = build, ServerMode.SERVING
         self.started_ms = int(time() * 1000)
 
     def drop_connections(self) -> None:
-        for sock in list(self.connections):
-            reset(sock)
-        self.connections.clear()
+        for sock in list(self.open_connections):
+            reset_connection(sock)
+        self.open_connections.clear()
 
     def close(self) -> None:
-        self.acceptor.kill()
-        self.sock.close()
+        self.accept_loop.kill()
+        self.listener.close()
         self.drop_connections()
 
 
-def body_of(txn: str) -> bytes:
+def response_body(request_id: str) -> bytes:
     """What a server answers to this request, so that a client can tell its answer from another's."""
-    return b"answer to " + txn.encode()
+    return b"answer to " + request_id.encode()
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("shim.c")
-HEAD = struct.Struct("=qiiii")  # struct page of shim.c up to its faults
-FAULT = struct.Struct("=ii")
+PAGE_HEADER = struct.Struct("=qiiii")  # struct page of shim.c up to its faults
+PAGE_FAULT = struct.Struct("=ii")
 NS_PER_S = 1_000_000_000
 
 
-class Call(IntEnum):
+class SystemCall(IntEnum):
     """The calls that can fail, in the order of ``enum call`` in shim.c."""
 
     ACCEPT = 0
@@ -36,10 +36,17 @@
 
 # Each way that the man pages name and that a process can meet on a socket or file that is in order. Where the
 # system says that a connection was reset or timed out, it is so: stand-ins bring that about by a real reset.
-ERRORS: dict[Call, tuple[int, ...]] = {
-    Call.ACCEPT: (errno.ECONNABORTED, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
-    Call.SOCKET: (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
-    Call.CONNECT: (
+ERRNOS: dict[SystemCall, tuple[int, ...]] = {
+    SystemCall.ACCEPT: (
+        errno.ECONNABORTED,
+        errno.EINTR,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+    ),
+    SystemCall.SOCKET: (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
+    SystemCall.CONNECT: (
         errno.EADDRNOTAVAIL,
         errno.EAGAIN,
         errno.ECONNREFUSED,
@@ -49,33 +56,33 @@
         errno.ENOBUFS,
         errno.ETIMEDOUT,
     ),
-    Call.SETSOCKOPT: (errno.EINVAL, errno.ENOBUFS, errno.ENOMEM),
-    Call.RECEIVE: (errno.EAGAIN, errno.EINTR, errno.ENOMEM),
-    Call.SEND: (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM),
-    Call.LOG: (errno.EAGAIN, errno.EINTR, errno.EIO, errno.ENOSPC, errno.EPIPE),
-    Call.POLL: (errno.EINTR, errno.ENOMEM),
-    Call.EPOLL: (errno.EINTR,),
-    Call.OPEN: (errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOSPC, errno.EIO),
-    Call.FSYNC: (errno.EIO, errno.ENOSPC),
-    Call.RENAME: (errno.EIO, errno.ENOSPC),
-    Call.WRITE_FILE: (errno.EIO, errno.ENOSPC),
+    SystemCall.SETSOCKOPT: (errno.EINVAL, errno.ENOBUFS, errno.ENOMEM),
+    SystemCall.RECEIVE: (errno.EAGAIN, errno.EINTR, errno.ENOMEM),
+    SystemCall.SEND: (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM),
+    SystemCall.LOG: (errno.EAGAIN, errno.EINTR, errno.EIO, errno.ENOSPC, errno.EPIPE),
+    SystemCall.POLL: (errno.EINTR, errno.ENOMEM),
+    SystemCall.EPOLL: (errno.EINTR,),
+    SystemCall.OPEN: (errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOSPC, errno.EIO),
+    SystemCall.FSYNC: (errno.EIO, errno.ENOSPC),
+    SystemCall.RENAME: (errno.EIO, errno.ENOSPC),
+    SystemCall.WRITE_FILE: (errno.EIO, errno.ENOSPC),
 }
 
 
-class NoCompiler(RuntimeError):
+class ShimBuildError(RuntimeError):
     """The shim cannot be built."""
 
 
-def build(folder: Path) -> Path:
+def build_shim(folder: Path) -> Path:
     """The shim as a shared object. Raises NoCompiler in one clear line."""
     compiler = shutil.which("cc")
     if compiler is None:
-        raise NoCompiler("the shim for system calls needs a C compiler named cc, and there is none")
+        raise ShimBuildError("the shim for system calls needs a C compiler named cc, and there is none")
     target = folder / "shim.so"
     command = [compiler, "-shared", "-fPIC", "-O2", "-Wall", "-o", str(target), str(SOURCE), "-ldl"]
-    done = subprocess.run(command, capture_output=True, text=True)
-    if done.returncode != 0:
-        raise NoCompiler(f"the shim does not build: {done.stderr.strip()}")
+    result = subprocess.run(command, capture_output=True, text=True)
+    if result.returncode != 0:
+        raise ShimBuildError(f"the shim does not build: {result.stderr.strip()}")
     return target
 
 
@@ -83,52 +90,52 @@
     """What one process meets; every method takes effect at once, in the process that runs."""
 
     def __init__(self, library: Path, folder: Path, name: str, seed: int = 1):
-        self.path = folder / f"{name}.page"
-        self.path.write_bytes(bytes(HEAD.size + FAULT.size * len(Call)))
-        with self.path.open("r+b") as file:
+        self.page_path = folder / f"{name}.page"
+        self.page_path.write_bytes(bytes(PAGE_HEADER.size + PAGE_FAULT.size * len(SystemCall)))
+        with self.page_path.open("r+b") as file:
             self.page = mmap.mmap(file.fileno(), 0)
-        self.step_s, self.hold = 0.0, (0, 0)
+        self.wall_clock_offset_s, self.clock_pause = 0.0, (0, 0)
         self.environment = {
             "LD_PRELOAD": str(library),
-            "SOAK_SHIM_PAGE": str(self.path),
+            "SOAK_SHIM_PAGE": str(self.page_path),
             "SOAK_SHIM_SEED": str(seed),
         }
         self.short_per_mille = 0
 
-    def head(self) -> None:
-        step = int(self.step_s * NS_PER_S)
-        HEAD.pack_into(self.page, 0, step, *self.hold, self.short_per_mille, 0)
+    def write_header(self) -> None:
+        offset_ns = int(self.wall_clock_offset_s * NS_PER_S)
+        PAGE_HEADER.pack_into(self.page, 0, offset_ns, *self.clock_pause, self.short_per_mille, 0)
 
-    def fail(self, call: Call, error: int, per_mille: int = 1000) -> None:
-        FAULT.pack_into(self.page, HEAD.size + FAULT.size * call, per_mille, error)
+    def fail_call(self, call: SystemCall, error: int, per_mille: int = 1000) -> None:
+        PAGE_FAULT.pack_into(self.page, PAGE_HEADER.size + PAGE_FAULT.size * call, per_mille, error)
 
-    def mend(self) -> None:
+    def clear_faults(self) -> None:
         """No call fails any more; the wall clock stays where it is."""
-        for call in Call:
-            self.fail(call, 0, 0)
-        self.hold, self.short_per_mille = (0, 0), 0
-        self.head()
+        for call in SystemCall:
+            self.fail_call(call, 0, 0)
+        self.clock_pause, self.short_per_mille = (0, 0), 0
+        self.write_header()
 
     def step_wall_clock(self, seconds: float) -> None:
-        self.step_s += seconds
-        self.head()
+        self.wall_clock_offset_s += seconds
+        self.write_header()
 
-    def hold_after_clock(self, milliseconds: int, per_mille: int) -> None:
-        self.hold = (milliseconds, per_mille)
-        self.head()
+    def pause_after_clock_read(self, milliseconds: int, per_mille: int) -> None:
+        self.clock_pause = (milliseconds, per_mille)
+        self.write_header()
 
-    def shorten(self, per_mille: int) -> None:
+    def shorten_transfers(self, per_mille: int) -> None:
         """Reads and writes on sockets move one byte, this often."""
         self.short_per_mille = per_mille
-        self.head()
+        self.write_header()
 
     def close(self) -> None:
         self.page.close()
 
 
-def preload(environment: dict[str, str]) -> dict[str, str]:
+def with_inherited_preload(environment: dict[str, str]) -> dict[str, str]:
     """An environment to start a process with, beside one that is preloaded already."""
-    before = os.environ.get("LD_PRELOAD")
-    if before and "LD_PRELOAD" in environment:
-        environment = environment | {"LD_PRELOAD": f"{environment['LD_PRELOAD']}:{before}"}
+    inherited = os.environ.get("LD_PRELOAD")
+    if inherited and "LD_PRELOAD" in environment:
+        environment = environment | {"LD_PRELOAD": f"{environment['LD_PRELOAD']}:{inherited}"}
     return environment
