--- a/tests/test_soak_calls.py
+++ b/tests/test_soak_calls.py
@@ -1,4 +1,4 @@
-"""Real fronts as processes: system calls that fail and clocks that are wrong."""
+"""Real front processes with failing system calls and wrong clocks."""
 
 import errno
 import signal
@@ -12,7 +12,7 @@
 from soak.run import SoakRun
 from soak.shim import SystemCall
 
-LONGEST_S = 60.0  # of one test, fronts' starts included
+LONGEST_S = 60.0  # for one test, with the start of its fronts
 HOUR_S = 3600.0
 
 
@@ -27,22 +27,22 @@
         getattr(front.shim, method)(*args)
 
 
-def outcomes(run, since):
-    return Counter(r.outcome for r in run.records.requests if r.sent >= run.started_at + since)
+def count_outcomes(run, start_s):
+    return Counter(r.outcome for r in run.records.requests if r.sent >= run.started_at + start_s)
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.EINVAL])
-def test_options_that_cannot_be_set_reset_accepted_connections(error):
+def test_setsockopt_errors_lose_no_requests(error):
     run = SoakRun(Deployment(fronts=2, servers=3), rate_per_s=20.0, shim=True)
     for_each_shim(run, "fail_call", SystemCall.SETSOCKOPT, error, 200)
     with run:
         run.run_until(3.0)
         assert run.finish() == []
-    assert outcomes(run, 0.0)[Outcome.SERVED] > 0
+    assert count_outcomes(run, 0.0)[Outcome.SERVED] > 0
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.EMFILE, errno.ENFILE])
-def test_a_socket_that_fails_for_a_moment_at_the_start_ends_the_process(error):
+def test_temporary_socket_errors_at_the_start_do_not_end_the_process(error):
     run = SoakRun(Deployment(fronts=2, servers=3), rate_per_s=20.0, shim=True)
     for_each_shim(run, "fail_call", SystemCall.SOCKET, error, 1000)
     run.call_later(1.5, for_each_shim, run, "clear_faults")
@@ -56,7 +56,7 @@
     "error",
     [errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENOBUFS, errno.EINTR, errno.EHOSTUNREACH],
 )
-def test_connections_that_fail_here_rest_the_only_server_and_hold_requests(error):
+def test_local_connect_errors_neither_eject_the_only_server_nor_hold_requests(error):
     with SoakRun(Deployment(fronts=2, servers=1), rate_per_s=10.0, shim=True) as run:
         run.run_until(0.5)
         run.servers["s-000"].drop_connections()
@@ -66,14 +66,15 @@
         run.run_until(6.0)
         assert run.finish() == []
         refused = [r for r in run.records.requests if r.outcome == Outcome.REFUSED]
-        half = run.deployment.deadline_s / 2  # of a request's time: what is refused later is priced
-        assert all(r.ended - r.sent < half for r in refused)
-        late = outcomes(run, 4.5)
+        # a refusal after half of a request's time has a price
+        half_deadline_s = run.deployment.deadline_s / 2
+        assert all(r.ended - r.sent < half_deadline_s for r in refused)
+        late = count_outcomes(run, 4.5)
     assert late[Outcome.SERVED] > 0.8 * late.total()
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.ENFILE])
-def test_an_accept_that_fails_at_a_stop_leaves_whole_requests_unread(error):
+def test_accept_errors_at_a_stop_leave_no_requests_unread(error):
     with SoakRun(Deployment(fronts=2, servers=3), rate_per_s=10.0, shim=True) as run:
         run.run_until(0.5)
         for_each_shim(run, "fail_call", SystemCall.ACCEPT, error)
@@ -88,7 +89,7 @@
         assert run.finish() == []
 
 
-def test_no_descriptor_for_two_seconds_at_accept_with_whole_requests_waiting():
+def test_two_seconds_without_descriptors_for_accept_lose_no_requests():
     with SoakRun(Deployment(fronts=2, servers=3, deadline_s=4.0), rate_per_s=10.0, shim=True) as run:
         run.run_until(0.5)
         for front in run.fronts:
@@ -101,7 +102,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EPIPE, errno.ENOSPC, errno.EIO])
-def test_a_log_that_cannot_be_written_costs_answers_or_an_orderly_end(error):
+def test_log_write_errors_cost_neither_responses_nor_an_orderly_end(error):
     with SoakRun(Deployment(fronts=2, servers=3), rate_per_s=20.0, shim=True) as run:
         run.run_until(0.5)
         for_each_shim(run, "fail_call", SystemCall.LOG, error)
@@ -116,7 +117,7 @@
 
 
 @pytest.mark.parametrize("call", [SystemCall.RECEIVE, SystemCall.SEND])
-def test_buffers_that_are_short_for_a_moment_lose_requests(call):
+def test_temporary_buffer_shortage_loses_no_requests(call):
     with SoakRun(Deployment(fronts=2, servers=3), rate_per_s=20.0, shim=True) as run:
         run.run_until(0.5)
         for_each_shim(
@@ -129,27 +130,27 @@
         assert run.finish() == []
 
 
-@pytest.mark.parametrize("wrong_s", [HOUR_S, -HOUR_S])
-def test_cold_servers_are_overloaded_where_the_wall_clock_is_an_hour_off(wrong_s):
+@pytest.mark.parametrize("offset_s", [HOUR_S, -HOUR_S])
+def test_wall_clock_an_hour_off_overloads_no_server_in_slow_start(offset_s):
     deployment = Deployment(fronts=4, servers=4, server_rate_per_s=15.0)
     run = SoakRun(deployment, rate_per_s=14.0, shim=True)
-    for_each_shim(run, "step_wall_clock", wrong_s)
+    for_each_shim(run, "step_wall_clock", offset_s)
     for server in run.servers.values():
-        server.mean_service_s = 0.15  # so that every server is wanted
+        server.mean_service_s = 0.15  # so that the load needs every server
     with run:
         run.run_until(1.0)
         run.drain_servers("s-000")
         run.run_until(2.0)
         run.restart_servers(FIRST_BUILD, "s-000")
         run.run_until(3.0)
-        for_each_shim(run, "step_wall_clock", -wrong_s)  # and back in mid-warm-up
+        for_each_shim(run, "step_wall_clock", -offset_s)  # and back during the slow start
         run.run_until(6.0)
         assert run.finish() == []
         attempts = [a for a in run.records.attempts if a.server == "s-000" and a.begun > run.started_at + 2.0]
-    assert attempts  # a server that never warms up would get none
+    assert attempts  # a server whose slow start never ends would get none
 
 
-def test_drains_are_missed_by_fronts_held_after_reading_their_clock():
+def test_pauses_after_clock_reads_miss_no_drains():
     with SoakRun(Deployment(fronts=3, servers=6), rate_per_s=20.0, shim=True) as run:
         run.run_until(0.5)
         for_each_shim(run, "pause_after_clock_read", 150, 3)
@@ -162,7 +163,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-HOUR_S, HOUR_S])
-def test_a_wall_clock_that_steps_in_mid_drain_reopens_servers(step_s):
+def test_wall_clock_step_during_a_drain_reopens_no_server(step_s):
     with SoakRun(Deployment(fronts=3, servers=6), rate_per_s=15.0, shim=True) as run:
         run.run_until(1.0)
         run.drain_servers("s-000", "s-001")
@@ -174,7 +175,7 @@
         assert run.finish() == []
 
 
-def test_a_start_with_discovery_down_and_the_clock_wrong():
+def test_start_with_discovery_down_and_the_wall_clock_wrong():
     run = SoakRun(Deployment(fronts=3, servers=6), rate_per_s=10.0, shim=True)
     for_each_shim(run, "step_wall_clock", -HOUR_S)
     run.discovery.go_down()
@@ -184,10 +185,10 @@
         run.drain_servers("s-000")
         run.run_until(14.0)
         assert run.finish() == []
-    assert outcomes(run, 12.0)[Outcome.SERVED] > 0
+    assert count_outcomes(run, 12.0)[Outcome.SERVED] > 0
 
 
-def test_a_send_that_waits_for_buffers_goes_out_by_the_list_and_the_time_of_before():
+def test_sends_delayed_by_full_buffers_use_the_current_list_and_deadline():
     with SoakRun(Deployment(fronts=3, servers=4), rate_per_s=15.0, shim=True) as run:
         run.run_until(1.0)
         for_each_shim(run, "fail_call", SystemCall.SEND, errno.EAGAIN)
--- a/tests/test_soak_discovery.py
+++ b/tests/test_soak_discovery.py
@@ -1,4 +1,4 @@
-"""Real fronts as processes while discovery cannot be had: the failures of incident 3231."""
+"""Real front processes while discovery is unavailable: the failures of incident 3231."""
 
 from collections import Counter
 
@@ -9,7 +9,7 @@
 from soak.records import Outcome
 from soak.run import SoakRun
 
-LONGEST_S = 60.0  # of one test, fronts' starts included
+LONGEST_S = 60.0  # for one test, with the start of its fronts
 
 
 @pytest.fixture(autouse=True)
@@ -18,8 +18,8 @@
         yield
 
 
-def test_sends_to_servers_that_drained_while_discovery_could_not_be_had():
-    """Quiet fronts lose their watches, every call is turned away, and most servers drain meanwhile."""
+def test_no_attempts_to_servers_that_drained_while_discovery_was_unavailable():
+    """Fronts with little traffic lose their watches, all calls are rejected and most servers drain."""
     with SoakRun(Deployment(fronts=6, servers=8), rate_per_s=0.5) as run:
         run.run_until(1.0)
         run.discovery.reset_watches()
@@ -30,8 +30,8 @@
     assert violations == []
 
 
-def test_sends_by_the_list_of_the_configuration_after_a_start_without_discovery():
-    """A front that was killed starts again with a list from before the drain, and cannot get another."""
+def test_no_attempts_by_an_outdated_list_after_a_start_without_discovery():
+    """A killed front restarts with a configured list from before the drain and can't get a newer one."""
     with SoakRun(Deployment(fronts=6, servers=8), rate_per_s=0.5) as run:
         run.run_until(1.0)
         run.discovery.reset_watches()
@@ -46,10 +46,10 @@
     assert violations == []
 
 
-def test_calls_of_many_fronts_keep_discovery_from_ever_serving_one():
-    """A crowd of others' calls ends after three seconds; what the fronts ask must let discovery recover."""
+def test_calls_of_many_fronts_do_not_keep_discovery_overloaded():
+    """Calls of other clients overload discovery for three seconds; the fronts' calls must let it recover."""
     deployment = Deployment(fronts=16, servers=8)
-    # it takes one call from every front in 8 s, the least that pages allow
+    # capacity for one call of every front in 8 s, the least that the specifications allow
     call_duration_s = 8.0 / deployment.fronts
     with SoakRun(deployment, rate_per_s=1.0, call_duration_s=call_duration_s) as run:
         run.run_until(1.0)
@@ -61,8 +61,8 @@
     assert violations == [] and len(watching) >= 15
 
 
-def test_service_goes_on_by_servers_that_are_known_to_take_requests():
-    """Longer than a list may be acted on without discovery, and nothing drains: most requests are served."""
+def test_requests_are_served_while_discovery_is_unavailable():
+    """Nothing drains and the outage outlasts the lease on the server list: most requests are served."""
     with SoakRun(Deployment(fronts=2, servers=6), rate_per_s=20.0) as run:
         run.run_until(1.0)
         run.discovery.reset_watches()
--- a/tests/test_soak_signals.py
+++ b/tests/test_soak_signals.py
@@ -1,4 +1,4 @@
-"""Real fronts as processes: signals at moments at which a front is not at rest."""
+"""Real front processes that get signals while they start, stop or carry load."""
 
 import signal
 from random import Random
@@ -11,7 +11,7 @@
 from soak.run import SoakRun
 from soak.servers import ServerMode
 
-LONGEST_S = 60.0  # of one test, fronts' starts included
+LONGEST_S = 60.0  # for one test, with the start of its fronts
 
 
 @pytest.fixture(autouse=True)
@@ -20,39 +20,43 @@
         yield
 
 
-def slow(run, seconds):
+def set_mean_service_time(run, seconds):
     for server in run.servers.values():
         server.mean_service_s = seconds
 
 
-def test_a_signal_before_the_handlers_are_set_ends_the_process():
-    """SIGHUP and SIGUSR1 from the moment of the start on, each at a process of its own."""
+def test_signals_before_handlers_are_installed_do_not_end_the_process():
+    """Each process gets SIGHUP and SIGUSR1 at a different time from its start on."""
     run = SoakRun(Deployment(fronts=10, servers=2), rate_per_s=1.0)
-    moments = [0.0, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.0]
-    for front, moment in zip(run.fronts, moments, strict=True):
-        for number in (signal.SIGHUP, signal.SIGUSR1):
-            run.call_later(moment, front.signal, number)
+    delays_s = [0.0, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.0]
+    for front, delay_s in zip(run.fronts, delays_s, strict=True):
+        for signal_number in (signal.SIGHUP, signal.SIGUSR1):
+            run.call_later(delay_s, front.signal, signal_number)
     with run:
         assert all(front.is_running and front.ready_at for front in run.fronts)
         run.run_until(1.0)
         assert run.finish() == []
 
 
-def test_a_second_sigterm_ends_the_process_with_requests_open():
+def test_second_sigterm_does_not_end_the_process_with_open_requests():
     with SoakRun(Deployment(fronts=3, servers=4), rate_per_s=20.0) as run:
-        slow(run, 0.3)
+        set_mean_service_time(run, 0.3)
         run.run_until(1.5)
         for front in run.fronts:
-            for after, number in ((0.0, signal.SIGTERM), (0.1, signal.SIGTERM), (0.2, signal.SIGINT)):
-                run.call_later(after, front.signal, number)
+            for delay_s, signal_number in (
+                (0.0, signal.SIGTERM),
+                (0.1, signal.SIGTERM),
+                (0.2, signal.SIGINT),
+            ):
+                run.call_later(delay_s, front.signal, signal_number)
         run.run_until(6.0)
         assert [front.process.poll() for front in run.fronts] == [0, 0, 0]
         assert run.finish() == []
 
 
-def test_requests_in_the_same_instant_as_sigterm_on_new_connections_are_lost():
+def test_requests_on_new_connections_at_sigterm_are_not_lost():
     with SoakRun(Deployment(fronts=2, servers=4), rate_per_s=5.0) as run:
-        slow(run, 0.05)
+        set_mean_service_time(run, 0.05)
         run.run_until(1.0)
         for front in run.fronts:
             front.signal(signal.SIGTERM)
@@ -63,7 +67,7 @@
         assert run.finish() == []
 
 
-def test_a_shutdown_with_every_server_hung_until_the_kill_loses_requests():
+def test_shutdown_with_all_servers_hung_until_sigkill_loses_no_requests():
     with SoakRun(Deployment(fronts=2, servers=3), rate_per_s=15.0) as run:
         run.run_until(1.0)
         run.set_server_mode(ServerMode.HUNG, *run.servers)
@@ -73,7 +77,7 @@
         assert run.finish() == []
 
 
-def test_ten_outright_kills_under_load():
+def test_ten_sigkills_under_load_lose_no_requests():
     random = Random(1)
     with SoakRun(Deployment(fronts=3, servers=4), rate_per_s=15.0) as run:
         for _ in range(10):
@@ -86,7 +90,7 @@
         assert run.finish() == []
 
 
-def test_three_sighups_in_50_ms_with_moved_addresses():
+def test_three_sighups_within_50_ms_follow_the_new_addresses():
     with SoakRun(Deployment(fronts=3, servers=6), rate_per_s=10.0) as run:
         run.run_until(1.5)
         for _ in range(3):
@@ -101,10 +105,10 @@
         assert run.finish() == []
 
 
-def test_five_hundred_open_at_sigterm():
+def test_sigterm_with_five_hundred_open_requests_loses_none():
     deployment = Deployment(fronts=1, servers=4, max_sockets=2048, deadline_s=6.0)
     with SoakRun(deployment, rate_per_s=5.0) as run:
-        slow(run, 1.0)
+        set_mean_service_time(run, 1.0)
         run.run_until(0.5)
         (front,) = run.fronts
         for _ in range(500):
