--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -14,7 +14,7 @@
 import gevent
 
 from soak.deployment import FIRST_BUILD, Deployment
-from soak.play import Play
+from soak.run import SoakRun
 
 SIZES = (150, 600, 1200, 3200)
 REQUESTS_PER_S = 20.0
@@ -51,21 +51,21 @@
 
 def measure(servers: int) -> ResourceUse:
     """Runs a front with so many servers and returns what it used."""
-    with Play(Deployment(fronts=1, servers=servers), rate=REQUESTS_PER_S) as play:
-        pid, descriptors = play.fronts[0].process.pid, 0
-        sent_bytes_before = play.discovery.sent_bytes
+    with SoakRun(Deployment(fronts=1, servers=servers), rate_per_s=REQUESTS_PER_S) as run:
+        pid, descriptors = run.fronts[0].process.pid, 0
+        sent_bytes_before = run.discovery.sent_list_bytes
         for turn in range(int(RUN_S / CHANGE_INTERVAL_S)):
             name = f"s-{turn % servers:03d}"
-            play.drain(name) if turn % 2 == 0 else play.bring_back(
+            run.drain_servers(name) if turn % 2 == 0 else run.restart_servers(
                 FIRST_BUILD, f"s-{(turn - 1) % servers:03d}"
             )
             gevent.sleep(CHANGE_INTERVAL_S)
             descriptors = max(descriptors, len(os.listdir(f"/proc/{pid}/fd")))
-        connections = sum(server.accepted for server in play.servers.values())
-        sent_kb = (play.discovery.sent_bytes - sent_bytes_before) / KB
+        connections = sum(server.accepted_count for server in run.servers.values())
+        sent_kb = (run.discovery.sent_list_bytes - sent_bytes_before) / KB
         used = ResourceUse(servers, cpu_s(pid), peak_mb(pid), descriptors, connections, sent_kb, 0.0)
-        play.finish()
-        requests = play.records.requests
+        run.finish()
+        requests = run.records.requests
         used.served = sum(request.outcome == "served" for request in requests) / max(1, len(requests))
         return used
 
