--- a/myrtleroad/config/scanner.py
+++ b/myrtleroad/config/scanner.py
@@ -1,49 +1,51 @@
-"""Where the nodes of a KDL document stand: line, column and bounds of each, found before any is parsed.
+"""Finds the nodes of a KDL document with the line, column and extent of each, before any node is parsed.
 
-The library that reads values tells no positions and reads a text in one go. This scanner knows only what it
-needs to find a node's end (KDL 2: strings, raw strings, comments, slashdash, line continuations, children),
-bounds depth and count, and can be resumed between nodes, so that a large document doesn't hold a loop."""
+The library that parses values reports no positions and parses a text in one call. This scanner knows only
+what it needs to find the end of a node (KDL 2: strings, raw strings, comments, slashdash, line
+continuations, children). It limits depth and number of nodes, and can pause between nodes, so that a large
+document doesn't block the event loop."""
 
 import re
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # a document of some 100,000 entries; told before anything is read
-MAX_NODES = 200_000  # bounds memory: a parsed node takes some hundred bytes
-MAX_DEPTH = 16  # the schema needs three; deeper is a mistake or an attack
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # a document of some 100,000 entries; checked before anything is read
+MAX_NODES = 200_000  # limits memory: a parsed node takes some hundred bytes
+MAX_DEPTH = 16  # the schema needs three; deeper nesting is a mistake or an attack
 
 TOKEN = re.compile(
     r"""
       (?P<blank>[^\S\r\n\x0b\x0c\x85\u2028\u2029]+|\ufeff)
-    | (?P<line>\r\n|[\r\n\x0b\x0c\x85\u2028\u2029])
-    | (?P<remark>//[^\r\n\x0b\x0c\x85\u2028\u2029]*)
-    | (?P<open>/\*)
-    | (?P<dash>/-)
-    | (?P<raw>\#+\"(?:\"\")?)
-    | (?P<long>\"\"\")
-    | (?P<text>\"(?:[^\"\\\r\n]|\\[\s\S])*\")
-    | (?P<torn>\")
-    | (?P<begin>\{)
-    | (?P<end>\})
-    | (?P<stop>;)
-    | (?P<join>\\)
-    | (?P<word>[^\s\"{};\\/\ufeff]+|/)
+    | (?P<newline>\r\n|[\r\n\x0b\x0c\x85\u2028\u2029])
+    | (?P<line_comment>//[^\r\n\x0b\x0c\x85\u2028\u2029]*)
+    | (?P<comment_start>/\*)
+    | (?P<slashdash>/-)
+    | (?P<raw_string>\#+\"(?:\"\")?)
+    | (?P<multiline_string>\"\"\")
+    | (?P<string>\"(?:[^\"\\\r\n]|\\[\s\S])*\")
+    | (?P<unclosed_string>\")
+    | (?P<open_brace>\{)
+    | (?P<close_brace>\})
+    | (?P<semicolon>;)
+    | (?P<line_continuation>\\)
+    | (?P<identifier>[^\s\"{};\\/\ufeff]+|/)
     """,
     re.VERBOSE,
 )
 
 
 class ScanError(Exception):
-    """The text can't be cut into nodes: where, and why."""
+    """The text can't be split into nodes. Holds the position (from 1) and the reason."""
 
-    def __init__(self, line: int, column: int, why: str):
-        super().__init__(why)
-        self.line, self.column, self.reason = line, column, why
+    def __init__(self, line: int, column: int, reason: str):
+        super().__init__(reason)
+        self.line, self.column, self.reason = line, column, reason
 
 
 @dataclass(slots=True)
 class NodeSpan:
-    """One node: its own text without its children, and where it begins (both from 1)."""
+    """One node: its own text without its children, and the position where it begins (line and column from
+    1)."""
 
     line: int
     column: int
@@ -52,154 +54,172 @@
 
 
 class Scanner:
-    """``places`` yields after every ``step`` nodes so that its caller may let others run."""
+    """Splits a text into nodes. ``scan_in_slices`` yields after every ``nodes_per_slice`` nodes so that
+    other greenlets can run; ``roots`` holds the result."""
 
     def __init__(self, text: str):
         self.text, self.position, self.node_count = text, 0, 0
-        self.line, self.line_start = 1, 0  # of ``at``
+        self.line, self.line_start = 1, 0  # of ``position``
         self.roots: list[NodeSpan] = []
 
-    def error(self, why: str, at: int | None = None) -> ScanError:
-        at = self.position if at is None else at
-        return ScanError(self.line, at - self.line_start + 1, why)
+    def error(self, reason: str, position: int | None = None) -> ScanError:
+        """A ScanError at a position of the text, by default the current one."""
+        position = self.position if position is None else position
+        return ScanError(self.line, position - self.line_start + 1, reason)
 
-    def scan_in_slices(self, step: int = 256) -> Iterator[None]:
-        """Cuts the whole text; ``roots`` holds the nodes afterwards. Raises Torn."""
-        stack: list[tuple[list[NodeSpan], bool]] = []  # of lists that hold an open node, whether it is kept
-        here, kept, text = self.roots, True, self.text
+    def scan_in_slices(self, nodes_per_slice: int = 256) -> Iterator[None]:
+        """Splits the whole text; ``roots`` holds the nodes afterwards. Raises ScanError."""
+        # Lists of nodes around the open one, and whether their nodes are kept.
+        stack: list[tuple[list[NodeSpan], bool]] = []
+        siblings, keep, text = self.roots, True, self.text
         while self.position < len(text):
-            kind, begin = self.next_token()
-            if kind in ("blank", "line", "stop", "remark"):
+            kind, start = self.next_token()
+            if kind in ("blank", "newline", "semicolon", "line_comment"):
                 continue
-            if kind == "end":
+            if kind == "close_brace":
                 if not stack:
-                    raise self.error("a } that closes nothing", begin)
-                here, kept = stack.pop()
+                    raise self.error("unmatched }", start)
+                siblings, keep = stack.pop()
                 self.expect_node_end()
                 continue
-            skip = kind == "dash"
+            skip = kind == "slashdash"
             if skip:
                 self.skip_blanks()
-                kind, begin = self.next_token() if self.position < len(text) else ("stop", self.position)
-            if kind not in ("word", "text", "raw", "long"):
-                raise self.error(f"a node's name was expected, found {text[begin : begin + 1]!r}", begin)
-            place = self.scan_node(begin)
+                kind, start = self.next_token() if self.position < len(text) else ("semicolon", self.position)
+            if kind not in ("identifier", "string", "raw_string", "multiline_string"):
+                raise self.error(f"expected a node name, found {text[start : start + 1]!r}", start)
+            span = self.scan_node(start)
             self.node_count += 1
             if self.node_count > MAX_NODES:
-                raise self.error(f"over {MAX_NODES} nodes", begin)
-            if kept and not skip:
-                here.append(place)
+                raise self.error(f"more than {MAX_NODES} nodes", start)
+            if keep and not skip:
+                siblings.append(span)
             if self.position < len(text) and text[self.position] == "{":
                 self.position += 1
-                stack.append((here, kept))
+                stack.append((siblings, keep))
                 if len(stack) > MAX_DEPTH:
-                    raise self.error(f"nodes within nodes, over {MAX_DEPTH} deep", begin)
-                here, kept = place.children, kept and not skip
-            if self.node_count % step == 0:
+                    raise self.error(f"nodes nested more than {MAX_DEPTH} levels deep", start)
+                siblings, keep = span.children, keep and not skip
+            if self.node_count % nodes_per_slice == 0:
                 yield
         if stack:
-            raise self.error("the text ends within children that are still open")
+            raise self.error("the text ends inside an unclosed block of children")
 
     def next_token(self) -> tuple[str, int]:
-        """The kind of the next token and where it begins; ``at`` is behind it. Strings over lines, raw
-        strings and comments are passed whole."""
+        """The kind of the next token and where it begins; ``position`` is behind it afterwards. Multi-line
+        strings, raw strings and block comments are passed as a whole."""
         match = TOKEN.match(self.text, self.position)
-        if match is None:  # a control character that nothing above takes
-            raise self.error(f"{self.text[self.position]!r} may not stand here")
-        kind, begin, self.position = match.lastgroup or "", match.start(), match.end()
+        if match is None:  # a control character that no pattern matches
+            raise self.error(f"{self.text[self.position]!r} is not allowed here")
+        kind, start, self.position = match.lastgroup or "", match.start(), match.end()
         match kind:
-            case "torn":
-                raise self.error("a string that does not end on its line", begin)
-            case "text":
-                self.count_lines(begin)
-            case "line":
+            case "unclosed_string":
+                raise self.error("unterminated string: it has to end on its line", start)
+            case "string":
+                self.count_lines(start)
+            case "newline":
                 self.line, self.line_start = self.line + 1, self.position
-            case "raw":
+            case "raw_string":
                 hashes = match.group().count("#")
                 quotes = match.group()[hashes:]
-                self.skip_past(quotes + "#" * hashes, begin, "a raw string")
-            case "long":
-                self.skip_multiline_string(begin)
-            case "open":
-                self.skip_block_comment(begin)
+                self.skip_past(quotes + "#" * hashes, start, "a raw string")
+            case "multiline_string":
+                self.skip_multiline_string(start)
+            case "comment_start":
+                self.skip_block_comment(start)
                 kind = "blank"
-        return kind, begin
+        return kind, start
 
-    def count_lines(self, begin: int) -> None:
-        """Lines within what was passed: only escapes and strings over lines hold any."""
-        for m in re.finditer(r"\r\n|[\r\n\x0b\x0c\x85\u2028\u2029]", self.text[begin : self.position]):
-            self.line, self.line_start = self.line + 1, begin + m.end()
+    def count_lines(self, start: int) -> None:
+        """Counts the lines within the passed text: only escapes and multi-line strings contain any."""
+        for found in re.finditer(r"\r\n|[\r\n\x0b\x0c\x85\u2028\u2029]", self.text[start : self.position]):
+            self.line, self.line_start = self.line + 1, start + found.end()
 
-    def skip_past(self, mark: str, begin: int, what: str) -> None:
-        end = self.text.find(mark, self.position)
+    def skip_past(self, terminator: str, start: int, what: str) -> None:
+        """Passes everything up to and including ``terminator``; ``what`` names it in the error."""
+        end = self.text.find(terminator, self.position)
         if end < 0:
-            raise self.error(f"{what} that does not end", begin)
-        self.position = end + len(mark)
-        self.count_lines(begin)
-
-    def skip_multiline_string(self, begin: int) -> None:
-        """A string over lines; an escaped quote does not end it."""
-        for m in re.finditer(r'\\[\s\S]|"""', self.text[self.position :]):
-            if m.group() == '"""':
-                self.position += m.end()
-                return self.count_lines(begin)
-        raise self.error("a string over lines that does not end", begin)
-
-    def skip_block_comment(self, begin: int) -> None:
+            raise self.error(f"{what} is not terminated", start)
+        self.position = end + len(terminator)
+        self.count_lines(start)
+
+    def skip_multiline_string(self, start: int) -> None:
+        """Passes a multi-line string; an escaped quote does not end it."""
+        for found in re.finditer(r'\\[\s\S]|"""', self.text[self.position :]):
+            if found.group() == '"""':
+                self.position += found.end()
+                return self.count_lines(start)
+        raise self.error("unterminated multi-line string", start)
+
+    def skip_block_comment(self, start: int) -> None:
+        """Passes a block comment; block comments may be nested."""
         depth = 1
         while depth:
-            m = re.compile(r"/\*|\*/").search(self.text, self.position)
-            if m is None:
-                raise self.error("a comment that does not end", begin)
-            self.position, depth = m.end(), depth + (1 if m.group() == "/*" else -1)
-        self.count_lines(begin)
+            found = re.compile(r"/\*|\*/").search(self.text, self.position)
+            if found is None:
+                raise self.error("unterminated block comment", start)
+            self.position, depth = found.end(), depth + (1 if found.group() == "/*" else -1)
+        self.count_lines(start)
 
     def skip_blanks(self) -> None:
-        """White space, lines and comments between a slashdash and what it takes away."""
-        while (m := TOKEN.match(self.text, self.position)) and m.lastgroup in (
+        """Passes white space, line ends and comments between a slashdash and the element that it removes."""
+        while (found := TOKEN.match(self.text, self.position)) and found.lastgroup in (
             "blank",
-            "line",
-            "remark",
-            "open",
+            "newline",
+            "line_comment",
+            "comment_start",
         ):
             self.next_token()
 
-    def scan_node(self, begin: int) -> NodeSpan:
-        """From its name to its end or its children, which are not read here."""
-        place = NodeSpan(self.line, begin - self.line_start + 1, "")
-        # The name's own lines, if it has any, were counted: a name over lines is rare and only its end shows.
+    def scan_node(self, start: int) -> NodeSpan:
+        """The node from its name to its end or to its children, which are not read here."""
+        span = NodeSpan(self.line, start - self.line_start + 1, "")
+        # Line ends within the name were counted already: for the rare multi-line name, only the position of
+        # its end is known.
         while self.position < len(self.text):
-            m = TOKEN.match(self.text, self.position)
-            kind = m.lastgroup if m else ""
-            if kind in ("line", "stop", "end", "begin", "remark"):
+            found = TOKEN.match(self.text, self.position)
+            kind = found.lastgroup if found else ""
+            if kind in ("newline", "semicolon", "close_brace", "open_brace", "line_comment"):
                 break
-            if kind == "join":
+            if kind == "line_continuation":
                 self.position += 1
                 self.skip_line_continuation()
                 continue
-            if kind == "dash":
+            if kind == "slashdash":
                 self.position += 2
                 self.skip_blanks()
                 if self.text[self.position : self.position + 1] == "{":
-                    raise self.error("children taken away by /- are not read here; take their node away")
+                    raise self.error("/- before children is not supported; put it before their node")
                 continue
             self.next_token()
-        place.text = self.text[begin : self.position]
-        return place
+        span.text = self.text[start : self.position]
+        return span
 
     def skip_line_continuation(self) -> None:
-        """A line continuation: blanks and a comment, then the end of the line, then the node goes on."""
-        while (m := TOKEN.match(self.text, self.position)) and m.lastgroup in ("blank", "remark", "open"):
+        """Passes a line continuation: blanks and a comment up to the end of the line. The node goes on
+        behind it."""
+        while (found := TOKEN.match(self.text, self.position)) and found.lastgroup in (
+            "blank",
+            "line_comment",
+            "comment_start",
+        ):
             self.next_token()
         if self.position < len(self.text):
-            kind, begin = self.next_token()
-            if kind != "line":
-                raise self.error("something behind a \\ that joins lines", begin)
+            kind, start = self.next_token()
+            if kind != "newline":
+                raise self.error("unexpected text after a line continuation \\", start)
 
     def expect_node_end(self) -> None:
-        """Behind a } only the end of its node may stand."""
-        while (m := TOKEN.match(self.text, self.position)) and m.lastgroup == "blank":
+        """Only the end of a node may follow its }."""
+        while (found := TOKEN.match(self.text, self.position)) and found.lastgroup == "blank":
             self.next_token()
-        m = TOKEN.match(self.text, self.position)
-        if m is not None and m.lastgroup not in ("line", "stop", "end", "remark", "open", None):
-            raise self.error("a new node on the line of a }", m.start())
+        found = TOKEN.match(self.text, self.position)
+        if found is not None and found.lastgroup not in (
+            "newline",
+            "semicolon",
+            "close_brace",
+            "line_comment",
+            "comment_start",
+            None,
+        ):
+            raise self.error("unexpected node on the line of a }", found.start())
