--- a/myrtleroad/config/entries.py
+++ b/myrtleroad/config/entries.py
@@ -1,5 +1,5 @@
-"""A version's content as one flat map from path to value, kept as a persistent map: versions share what they
-have in common, and the difference of two is a walk.
+"""The content of a version as a flat map from path to value. The map is persistent (immutable with structural
+sharing): versions share what they have in common, and the difference of two is one pass over both.
 
 A path is ("route", NAME, FIELD), ("tenant", NAME, FIELD), ("network", PREFIX), ("aside", KIND, NAME),
 ("trial", "most-share"), ("networks", "default") or ("log", "level")."""
@@ -22,54 +22,56 @@
 
 def flatten(
     roots: Iterable[CheckedNode],
-    into: dict[EntryPath, Value],
-    where: dict[EntryPath, tuple[int, int]],
-    step: int = 128,
+    destination: dict[EntryPath, Value],
+    positions: dict[EntryPath, tuple[int, int]],
+    entries_per_slice: int = 128,
 ) -> Iterator[None]:
-    """What a document sets, and where; yields between slices. What has no value where one is needed was told
-    by the check and is left out."""
-    seen = 0
+    """Collects the entries of a checked document and their positions; yields between slices. A node
+    without a required value was reported by the schema check and is left out."""
+    count = 0
     for root in roots:
-        at = (root.node.line, root.node.column)
+        position = (root.node.line, root.node.column)
         if root.name in ("networks", "trial", "log"):
-            for name, v in root.properties.items():
-                into[(root.name, name)], where[(root.name, name)] = v, at
-        for c in root.children:
-            seen += 1
-            if seen % step == 0:
+            for name, value in root.properties.items():
+                destination[(root.name, name)], positions[(root.name, name)] = value, position
+        for child in root.children:
+            count += 1
+            if count % entries_per_slice == 0:
                 yield
-            word, at = str(c.arg), (c.node.line, c.node.column)
-            match c.name:
+            argument, position = str(child.arg), (child.node.line, child.node.column)
+            match child.name:
                 case "route" | "tenant":
-                    paths = {(c.name, word, name): v for name, v in c.properties.items()}
+                    child_entries = {
+                        (child.name, argument, name): value for name, value in child.properties.items()
+                    }
                 case "admit" | "refuse":
-                    paths = {("network", word): c.name}
+                    child_entries = {("network", argument): child.name}
                 case _:
-                    paths = {("aside", c.name, word): c.properties.get("note", "")}
-            into |= paths
-            where |= dict.fromkeys(paths, at)
+                    child_entries = {("aside", child.name, argument): child.properties.get("note", "")}
+            destination |= child_entries
+            positions |= dict.fromkeys(child_entries, position)
 
 
 def conflicting_networks(roots: Iterable[CheckedNode]) -> list[Fault]:
-    """Networks that are admitted and refused: the check sees each kind alone."""
-    faults, first = [], {}
-    for c in (c for root in roots if root.name == "networks" for c in root.children):
-        other = first.setdefault(c.arg, c)
-        if other is not c and other.name != c.name and c.arg is not None:
-            text = f"{c.name} {c.arg!r} stands as {other.name} on line {other.node.line}"
-            faults.append(Fault("duplicate", text, c.node.line, c.node.column))
+    """Reports networks that are both admitted and refused: the schema check looks at each kind by itself."""
+    faults, by_network = [], {}
+    for child in (child for root in roots if root.name == "networks" for child in root.children):
+        earlier = by_network.setdefault(child.arg, child)
+        if earlier is not child and earlier.name != child.name and child.arg is not None:
+            text = f"{child.name} {child.arg!r} conflicts with {earlier.name} on line {earlier.node.line}"
+            faults.append(Fault("duplicate", text, child.node.line, child.node.column))
     return faults
 
 
 def content_digest(entries: Map[EntryPath, Value]) -> str:
-    """The same for the same content, however it was written or came about."""
-    text = orjson.dumps(sorted((list(p), v) for p, v in entries.items()))
+    """A digest that is the same for the same entries, whatever their order or origin."""
+    text = orjson.dumps(sorted((list(path), value) for path, value in entries.items()))
     return hashlib.sha256(text).hexdigest()[:32]
 
 
 @dataclass(slots=True)
 class Delta:
-    """From one content to another: what is set, what is dropped."""
+    """The difference between the entries of two versions."""
 
     changed: dict[EntryPath, Value] = field(default_factory=dict)
     removed: list[EntryPath] = field(default_factory=list)
@@ -79,15 +81,16 @@
 
 
 def diff(old: Map[EntryPath, Value], new: Map[EntryPath, Value]) -> Delta:
+    """The difference that leads from the old entries to the new ones."""
     if old is new:
         return Delta()
     missing = object()
-    changed = {p: v for p, v in new.items() if old.get(p, missing) != v}
-    return Delta(changed, sorted(p for p in old if p not in new))
+    changed = {path: value for path, value in new.items() if old.get(path, missing) != value}
+    return Delta(changed, sorted(path for path in old if path not in new))
 
 
 def apply_delta(base: Map[EntryPath, Value], delta: Delta) -> Map[EntryPath, Value]:
-    """Raises KeyError where something is dropped that is not there."""
+    """Applies a difference to the entries of a version. Raises KeyError if a removed entry is not there."""
     for path in delta.removed:
         base = base.delete(path)
     return base.update(delta.changed)
--- a/myrtleroad/config/schema.py
+++ b/myrtleroad/config/schema.py
@@ -1,9 +1,8 @@
-"""What a document may hold: nodes, their values, units, ranges and defaults. Every mistake is told, not the
-first alone.
+"""The schema of documents: nodes, their values, units and ranges. The check reports every mistake, not only
+the first.
 
-A ``Kind`` says what one value may be, a ``Shape`` what one node may hold. The schema of the versions that
-operators write is ``VERSION``; it is data, so that ``config check`` and the pages of the format say the
-same."""
+A ``ValueKind`` describes one value, a ``NodeShape`` one node. ``VERSION_SCHEMA`` describes the versions
+that operators write. It is data, so that ``config check`` and the documentation of the format agree."""
 
 import difflib
 from collections.abc import Iterator
@@ -12,16 +11,17 @@
 
 from myrtleroad.config.document import AnnotatedValue, Fault, Node, Value
 
-# units by their mark: what one of them is worth in the unit that the program counts in
+# units by annotation: the value of one in the unit that the program uses
 UNITS = {
     "duration": {"ms": 1.0, "s": 1000.0, "min": 60_000.0},  # in ms
-    "rate": {"per-s": 1.0, "per-min": 1 / 60},  # a second
+    "rate": {"per-s": 1.0, "per-min": 1 / 60},  # per second
 }
 
 
 @dataclass(slots=True, frozen=True)
 class ValueKind:
-    """One value: ``duration`` and ``rate`` want a unit as a mark, ``share`` and ``count`` none."""
+    """The kind of one value. ``duration`` and ``rate`` require a unit as type annotation, ``share`` and
+    ``count`` have none."""
 
     name: str  # duration, rate, share, count, text, network, choice
     minimum: float = 0.0
@@ -29,56 +29,59 @@
     choices: tuple[str, ...] = ()
 
     def describe(self) -> str:
+        """What is allowed, as text for messages."""
         match self.name:
             case "choice":
                 return "one of " + ", ".join(self.choices)
             case "text":
                 return "a text"
             case "network":
-                return 'a network, as "10.1.0.0/16"'
-        marks = UNITS.get(self.name)
-        unit = f" with a unit, as {', '.join(f'({m})' for m in marks)}" if marks else ""
-        span = (
+                return 'a network such as "10.1.0.0/16"'
+        units = UNITS.get(self.name)
+        unit_text = f" with a unit: {', '.join(f'({unit_name})' for unit_name in units)}" if units else ""
+        range_text = (
             f"from {self.minimum:g} to {self.maximum:g}"
             if self.maximum < float("inf")
             else f"of {self.minimum:g} or more"
         )
-        base = {"duration": " ms", "rate": " a second"}.get(self.name, "")
-        return f"a {self.name} {span}{base}{unit}"
+        base_unit = {"duration": " ms", "rate": " per second"}.get(self.name, "")
+        return f"a {self.name} {range_text}{base_unit}{unit_text}"
 
 
-def decode_value(kind: ValueKind, got: Value | AnnotatedValue) -> tuple[Value, str]:
-    """The value in the program's own unit, and what is wrong with it ("" where nothing is)."""
-    mark, v = (got.annotation, got.value) if isinstance(got, AnnotatedValue) else (None, got)
-    shown = f"({mark}){v!r}" if mark else repr(v)
-    wrong = f"found {shown}, allowed is {kind.describe()}"
+def decode_value(kind: ValueKind, written: Value | AnnotatedValue) -> tuple[Value, str]:
+    """Returns the value in the program's unit, and the reason if it is not valid (else "")."""
+    unit, value = (
+        (written.annotation, written.value) if isinstance(written, AnnotatedValue) else (None, written)
+    )
+    written_text = f"({unit}){value!r}" if unit else repr(value)
+    reason = f"found {written_text}, expected {kind.describe()}"
     if kind.name in ("text", "choice", "network"):
-        if mark or not isinstance(v, str) or not v:
-            return None, wrong
-        if kind.name == "choice" and v not in kind.choices:
-            return None, wrong
+        if unit or not isinstance(value, str) or not value:
+            return None, reason
+        if kind.name == "choice" and value not in kind.choices:
+            return None, reason
         if kind.name == "network":
             try:
-                return str(ip_network(v)), ""
+                return str(ip_network(value)), ""
             except ValueError as error:
-                return None, f"{wrong} ({error})"
-        return v, ""
+                return None, f"{reason} ({error})"
+        return value, ""
     units = UNITS.get(kind.name)
-    number = isinstance(v, int | float) and not isinstance(v, bool)
-    if not number or (units is None) == bool(mark) or (units is not None and mark not in units):
-        return None, wrong
-    figure = float(v) * (units[mark] if units else 1.0)
-    if not kind.minimum <= figure <= kind.maximum or (kind.name == "count" and figure != int(figure)):
-        return None, wrong
-    return (int(figure) if kind.name == "count" else figure), ""
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or (units is None) == bool(unit) or (units is not None and unit not in units):
+        return None, reason
+    number = float(value) * (units[unit] if units else 1.0)
+    if not kind.minimum <= number <= kind.maximum or (kind.name == "count" and number != int(number)):
+        return None, reason
+    return (int(number) if kind.name == "count" else number), ""
 
 
 @dataclass(slots=True, frozen=True)
 class NodeShape:
-    """One node: its single argument, if it has one, its properties, and the nodes within it.
+    """The shape of one node: its single argument, if it has one, its properties and its child nodes.
 
-    ``many``: it may stand more than once, its arguments apart. ``needed`` names properties without which it
-    means nothing."""
+    ``repeatable``: the node may occur more than once, with different arguments. ``required`` names the
+    properties that it can't do without."""
 
     arg: ValueKind | None = None
     properties: dict[str, ValueKind] = field(default_factory=dict)
@@ -145,7 +148,7 @@
 
 @dataclass(slots=True)
 class CheckedNode:
-    """One node that fits its shape: values in the program's units."""
+    """One node after the check, with its values in the program's units."""
 
     name: str
     node: Node
@@ -155,7 +158,8 @@
 
 
 class SchemaCheck:
-    """Checks nodes against shapes. ``steps`` yields between slices; ``faults`` holds every mistake."""
+    """Checks nodes against shapes. ``check_in_slices`` yields between slices; ``faults`` holds every
+    mistake, ``roots`` the checked nodes."""
 
     def __init__(self, nodes: list[Node], shapes: dict[str, NodeShape]):
         self.nodes, self.shapes = nodes, shapes
@@ -163,35 +167,45 @@
         self.roots: list[CheckedNode] = []
         self.node_count = 0
 
-    def check_in_slices(self, slice_nodes: int = 64) -> Iterator[None]:
-        yield from self.check_level(self.nodes, self.shapes, self.roots, "the document", slice_nodes)
+    def check_in_slices(self, nodes_per_slice: int = 64) -> Iterator[None]:
+        """Checks all nodes; yields after every ``nodes_per_slice`` nodes."""
+        yield from self.check_level(self.nodes, self.shapes, self.roots, "the document", nodes_per_slice)
 
     def check_level(
-        self, nodes: list[Node], shapes: dict[str, NodeShape], into: list[CheckedNode], where: str, step: int
+        self,
+        nodes: list[Node],
+        shapes: dict[str, NodeShape],
+        destination: list[CheckedNode],
+        parent: str,
+        nodes_per_slice: int,
     ) -> Iterator[None]:
-        met: dict[tuple[str, Value], Node] = {}  # of one list of nodes
+        """Checks one list of nodes and their children."""
+        first_nodes: dict[tuple[str, Value], Node] = {}  # within one list of nodes
         for node in nodes:
             self.node_count += 1
-            if self.node_count % step == 0:
+            if self.node_count % nodes_per_slice == 0:
                 yield
             shape = shapes.get(node.name)
             if shape is None:
-                self.report("schema", node, f"{where} has no {node.name!r}{suggestion(node.name, shapes)}")
+                self.report("schema", node, f"{parent} has no {node.name!r}{suggestion(node.name, shapes)}")
                 continue
             checked = CheckedNode(node.name, node)
             self.check_values(node, shape, checked)
-            first = met.setdefault((node.name, checked.arg if shape.repeatable else None), node)
-            if first is not node:
-                what = f"{node.name} {checked.arg!r}" if shape.repeatable else node.name
-                self.report("duplicate", node, f"{what} stands already on line {first.line}")
+            earlier = first_nodes.setdefault((node.name, checked.arg if shape.repeatable else None), node)
+            if earlier is not node:
+                label = f"{node.name} {checked.arg!r}" if shape.repeatable else node.name
+                self.report("duplicate", node, f"{label} is already on line {earlier.line}")
                 continue
-            into.append(checked)
+            destination.append(checked)
             if node.children and not shape.children:
-                self.report("schema", node.children[0], f"{node.name} holds no nodes")
+                self.report("schema", node.children[0], f"{node.name} takes no child nodes")
             elif node.children:
-                yield from self.check_level(node.children, shape.children, checked.children, node.name, step)
+                yield from self.check_level(
+                    node.children, shape.children, checked.children, node.name, nodes_per_slice
+                )
 
-    def check_values(self, node: Node, shape: NodeShape, into: CheckedNode) -> None:
+    def check_values(self, node: Node, shape: NodeShape, destination: CheckedNode) -> None:
+        """Checks the argument and the properties of one node."""
         if shape.arg is None and node.args:
             self.report("schema", node, f"{node.name} takes no value, found {node.args[0]!r}")
         if shape.arg is not None:
@@ -202,29 +216,34 @@
                     f"{node.name} takes one value, found {len(node.args)}: {shape.arg.describe()}",
                 )
             else:
-                into.arg, why = decode_value(shape.arg, node.args[0])
-                self.report_range(node, node.name, why)
-        for name, got in node.properties.items():
+                destination.arg, reason = decode_value(shape.arg, node.args[0])
+                self.report_range(node, node.name, reason)
+        for name, written in node.properties.items():
             kind = shape.properties.get(name)
             if kind is None:
                 self.report(
                     "schema", node, f"{node.name} has no {name!r}{suggestion(name, shape.properties)}"
                 )
                 continue
-            into.properties[name], why = decode_value(kind, got)
-            self.report_range(node, f"{node.name} {name}", why)
+            destination.properties[name], reason = decode_value(kind, written)
+            self.report_range(node, f"{node.name} {name}", reason)
         for name in shape.required:
             if name not in node.properties:
-                self.report("schema", node, f"{node.name} needs {name}: {shape.properties[name].describe()}")
+                self.report(
+                    "schema", node, f"{node.name} requires {name}: {shape.properties[name].describe()}"
+                )
 
-    def report_range(self, node: Node, what: str, why: str) -> None:
-        if why:
-            self.report("range", node, f"{what}: {why}")
+    def report_range(self, node: Node, label: str, reason: str) -> None:
+        """Reports a value that is not valid, if there is a reason."""
+        if reason:
+            self.report("range", node, f"{label}: {reason}")
 
     def report(self, code: str, node: Node, text: str) -> None:
+        """Adds a fault at the position of a node."""
         self.faults.append(Fault(code, text, node.line, node.column))
 
 
 def suggestion(name: str, names: dict[str, object]) -> str:
-    close = difflib.get_close_matches(name, names, 1)
-    return f"; did you mean {close[0]!r}?" if close else f"; it has {', '.join(names)}" if names else ""
+    """A hint for an unknown name: the most similar known name, or all known names."""
+    matches = difflib.get_close_matches(name, names, 1)
+    return f"; did you mean {matches[0]!r}?" if matches else f"; it has {', '.join(names)}" if names else ""
--- a/myrtleroad/config/version.py
+++ b/myrtleroad/config/version.py
@@ -1,4 +1,4 @@
-"""One version, from its text to what is held: read, checked and held against what was told, in slices."""
+"""Reads one version from its text in slices, and checks it against the schema and the rules."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Version:
-    """``number`` 0 and no faults never go together: a version without a number is at fault."""
+    """A version and its faults. A version without a number always has a fault."""
 
     number: int = 0
     confirm_ms: float | None = None
@@ -24,41 +24,43 @@
     faults: list[Fault] = field(default_factory=list)
 
 
-def read_in_slices(text: bytes, told: rules.FrontLimits | None, into: Version) -> Iterator[None]:
-    """Reads a version into ``into`` and yields between slices. All mistakes of the text are told in one go;
-    the rules are asked only of a text that fits the schema, as they would tell the same again."""
-    reading = DocumentReader(text)
-    yield from reading.read_in_slices()
-    check = SchemaCheck(reading.roots, VERSION_SCHEMA)
+def read_in_slices(text: bytes, front_limits: rules.FrontLimits | None, version: Version) -> Iterator[None]:
+    """Reads a version into ``version`` and yields between slices. All mistakes in the text are reported
+    together. The rules are checked only if the text fits the schema, as they would report the same
+    mistakes again."""
+    reader = DocumentReader(text)
+    yield from reader.read_in_slices()
+    check = SchemaCheck(reader.roots, VERSION_SCHEMA)
     yield from check.check_in_slices()
-    into.faults = reading.faults + check.faults
-    head = next((c for c in check.roots if c.name == "version"), None)
-    if head is None:
-        if not reading.incomplete and not any(n.name == "version" for n in reading.roots):
-            into.faults.append(Fault("schema", "no version: a node 'version NUMBER' is needed", 1, 1))
-    elif head.arg is not None:
-        into.number = head.arg
-        into.confirm_ms = head.properties.get("confirm")
-        into.note = head.properties.get("note") or ""
-    into.faults += content.conflicting_networks(check.roots)
+    version.faults = reader.faults + check.faults
+    version_node = next((node for node in check.roots if node.name == "version"), None)
+    if version_node is None:
+        if not reader.incomplete and not any(node.name == "version" for node in reader.roots):
+            version.faults.append(Fault("schema", "missing node 'version NUMBER'", 1, 1))
+    elif version_node.arg is not None:
+        version.number = version_node.arg
+        version.confirm_ms = version_node.properties.get("confirm")
+        version.note = version_node.properties.get("note") or ""
+    version.faults += content.conflicting_networks(check.roots)
     yield
-    pairs: dict[EntryPath, Value] = {}
-    yield from content.flatten(check.roots, pairs, into.positions)
-    into.entries = Map()
-    while pairs:
-        part = [pairs.popitem() for _ in range(min(128, len(pairs)))]
-        into.entries = into.entries.update(part)
+    pending: dict[EntryPath, Value] = {}
+    yield from content.flatten(check.roots, pending, version.positions)
+    version.entries = Map()
+    while pending:
+        batch = [pending.popitem() for _ in range(min(128, len(pending)))]
+        version.entries = version.entries.update(batch)
         yield
-    if told is not None and not into.faults:
+    if front_limits is not None and not version.faults:
         yield
-        yield from rules.check_entries(into.entries, told, into.positions, into.faults)
+        yield from rules.check_entries(version.entries, front_limits, version.positions, version.faults)
     yield from release_in_slices(check.roots)
-    yield from release_in_slices(reading.roots)
-    into.faults.sort(key=lambda f: (f.line, f.column))
+    yield from release_in_slices(reader.roots)
+    version.faults.sort(key=lambda fault: (fault.line, fault.column))
 
 
-def read(text: bytes, told: rules.FrontLimits | None = None) -> Version:
+def read(text: bytes, front_limits: rules.FrontLimits | None = None) -> Version:
+    """Reads a version in one call."""
     version = Version()
-    for _ in read_in_slices(text, told, version):
+    for _ in read_in_slices(text, front_limits, version):
         pass
     return version
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,5 +1,5 @@
-"""Documents, their schema and rules: every mistake is told, with its place, and none costs more than a
-bound."""
+"""Documents, their schema and rules: every mistake is reported with its position, and the cost of reading
+a document is bounded."""
 
 import random
 import time
@@ -18,7 +18,7 @@
 from myrtleroad.config.request_limits import RequestLimits
 from myrtleroad.net.node_config import decode_node_config
 
-TOLD = rules.FrontLimits(
+FRONT_LIMITS = rules.FrontLimits(
     routes={"look": rules.RouteLimits(800.0, 2000.0), "book": rules.RouteLimits(800.0, 2000.0)},
     tenants={"acme": 50.0},
     zones=("here", "there"),
@@ -27,7 +27,7 @@
     cap=0.1,
     control_host="192.0.2.7",
 )
-GOOD = b"""\
+VALID_TEXT = b"""\
 version 12 confirm=(s)30 note="after Lebaran"
 routes {
     route "look" objective=(ms)700 timeout=(s)1.5 most-tries=2 retry-budget=0.2
@@ -48,19 +48,28 @@
 """
 
 
-def faults(text, told=TOLD):
-    v = version.read(text, told)
-    return [(f.code, f.line, f.column) for f in v.faults]
+def fault_positions(text, front_limits=FRONT_LIMITS):
+    parsed = version.read(text, front_limits)
+    return [(fault.code, fault.line, fault.column) for fault in parsed.faults]
 
 
-def test_a_good_version_is_read_whole_in_the_programs_units():
-    v = version.read(GOOD, TOLD)
-    assert v.faults == [] and (v.number, v.confirm_ms, v.note) == (12, 30000.0, "after Lebaran")
-    assert v.entries[("route", "look", "timeout")] == 1500.0
-    assert v.entries[("tenant", "acme", "rate")] == 10.0
-    assert ("tenant", "x", "rate") not in v.entries and v.positions[("network", "10.1.7.9/32")] == (14, 5)
-    b = rules.effective_limits(v.entries, TOLD)
-    assert [b.networks.admits(a) for a in ("10.1.7.8", "10.1.7.9", "9.9.9.9", "2001:db8::1")] == [
+def test_valid_version_is_read_completely_in_program_units():
+    parsed = version.read(VALID_TEXT, FRONT_LIMITS)
+    assert parsed.faults == [] and (parsed.number, parsed.confirm_ms, parsed.note) == (
+        12,
+        30000.0,
+        "after Lebaran",
+    )
+    assert parsed.entries[("route", "look", "timeout")] == 1500.0
+    assert parsed.entries[("tenant", "acme", "rate")] == 10.0
+    assert ("tenant", "x", "rate") not in parsed.entries and parsed.positions[("network", "10.1.7.9/32")] == (
+        14,
+        5,
+    )
+    limits = rules.effective_limits(parsed.entries, FRONT_LIMITS)
+    assert [
+        limits.networks.admits(address) for address in ("10.1.7.8", "10.1.7.9", "9.9.9.9", "2001:db8::1")
+    ] == [
         False,
         True,
         True,
@@ -69,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "want"),
+    ("text", "expected"),
     [
         (b"", [("schema", 1, 1)]),
         (b"version 1 2", [("schema", 1, 1)]),
@@ -113,21 +122,21 @@
         (b"version 1\na {} b", [("syntax", 2, 6)]),
     ],
 )
-def test_each_mistake_is_told_with_its_code_and_place(text, want):
-    assert faults(text) == want
+def test_each_mistake_is_reported_with_code_and_position(text, expected):
+    assert fault_positions(text) == expected
 
 
-def test_what_was_found_and_what_is_allowed_are_both_said():
-    (fault,) = version.read(b'version 1\nroutes { route "look" timeout=800 }', TOLD).faults
+def test_fault_text_names_found_and_expected_value():
+    (fault,) = version.read(b'version 1\nroutes { route "look" timeout=800 }', FRONT_LIMITS).faults
     assert fault.describe("a.kdl") == (
-        "a.kdl:2:10: range: route timeout: found 800, allowed is a duration from 1 to 3.6e+06 ms "
-        "with a unit, as (ms), (s), (min)"
+        "a.kdl:2:10: range: route timeout: found 800, expected a duration from 1 to 3.6e+06 ms "
+        "with a unit: (ms), (s), (min)"
     )
 
 
-def test_all_mistakes_of_a_document_are_told_in_one_go():
+def test_all_mistakes_of_a_document_are_reported_together():
     text = b"version 1\n" + b"".join(b"wrong%d 1\n" % n for n in range(500))
-    assert [line for _, line, _ in faults(text)] == list(range(2, 502))
+    assert [line for _, line, _ in fault_positions(text)] == list(range(2, 502))
 
 
 @pytest.mark.parametrize(
@@ -141,78 +150,85 @@
         b"a \\\n" * 20_000,
     ],
 )
-def test_a_text_made_to_cost_is_told_and_ends_soon(text):
-    begin = time.process_time()
-    assert faults(text)
-    assert time.process_time() - begin < 10.0
+def test_costly_text_is_rejected_quickly(text):
+    start = time.process_time()
+    assert fault_positions(text)
+    assert time.process_time() - start < 10.0
 
 
-def test_no_slice_of_a_large_document_holds_its_caller_for_its_share_of_the_whole():
+def test_no_slice_of_a_large_document_takes_a_large_share_of_the_time():
     text = b"version 1\nnetworks {\n" + b"".join(
         b'  refuse "10.%d.%d.0/24" note="n"\n' % divmod(n, 256) for n in range(10_000)
     )
-    into, costs, last = version.Version(), [], time.process_time()
-    for _ in version.read_in_slices(text + b"}\n", TOLD, into):
+    parsed, costs, last = version.Version(), [], time.process_time()
+    for _ in version.read_in_slices(text + b"}\n", FRONT_LIMITS, parsed):
         now = time.process_time()
         costs.append(now - last)
         last = now
-    assert len(into.entries) == 10_000 and not into.faults and len(costs) > 100
+    assert len(parsed.entries) == 10_000 and not parsed.faults and len(costs) > 100
     assert sorted(costs)[-3] < 0.1 * sum(costs)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.text(alphabet='ab1 "\\/*-{};=()#\n\t', max_size=60))
-def test_no_text_breaks_the_reader_and_places_lie_within_it(text):
-    nodes, wrong = read_document(text.encode())
+def test_any_text_is_read_without_error_and_positions_lie_within_it(text):
+    nodes, found_faults = read_document(text.encode())
     lines = text.count("\n") + 1
-    assert all(1 <= f.line <= lines and f.column >= 1 for f in wrong)
-    assert all(1 <= n.line <= lines for n in nodes)
+    assert all(1 <= fault.line <= lines and fault.column >= 1 for fault in found_faults)
+    assert all(1 <= node.line <= lines for node in nodes)
 
 
-def test_one_bad_node_hides_none_of_those_beside_it():
-    reading = DocumentReader(b"a 1\nb ==\nc 3\n")
-    list(reading.read_in_slices())
-    assert [n.name for n in reading.roots] == ["a", "c"] and len(reading.faults) == 1
+def test_invalid_node_does_not_hide_its_siblings():
+    reader = DocumentReader(b"a 1\nb ==\nc 3\n")
+    list(reader.read_in_slices())
+    assert [node.name for node in reader.roots] == ["a", "c"] and len(reader.faults) == 1
 
 
-# --- in effect ---
+# --- effective limits ---
 
 
-def test_the_cap_that_falls_later_holds_at_once_and_the_version_stays():
-    v = version.read(b"version 1\ntrial most-share=0.1", TOLD)
-    assert not v.faults
-    for cap, value, by in (
+def test_later_lower_cap_applies_at_once_and_the_version_stays():
+    parsed = version.read(b"version 1\ntrial most-share=0.1", FRONT_LIMITS)
+    assert not parsed.faults
+    for cap, value, source in (
         (0.1, 0.1, "told"),
         (0.5, 0.1, "version"),
         (0.02, 0.02, "told"),
         (0.0, 0.0, "told"),
     ):
-        told = rules.FrontLimits(**{n: getattr(TOLD, n) for n in TOLD.__slots__} | {"cap": cap})
-        assert rules.effective_limits(v.entries, told).trial_share == rules.EffectiveValue(value, by)
+        front_limits = rules.FrontLimits(
+            **{field_name: getattr(FRONT_LIMITS, field_name) for field_name in FRONT_LIMITS.__slots__}
+            | {"cap": cap}
+        )
+        assert rules.effective_limits(parsed.entries, front_limits).trial_share == rules.EffectiveValue(
+            value, source
+        )
 
 
-def test_an_effective_objective_is_never_over_its_timeout():
-    v = version.read(b'version 1\nroutes { route "look" timeout=(ms)500 }', TOLD)
-    assert rules.effective_limits(v.entries, TOLD).routes["look"]["objective"] == rules.EffectiveValue(
-        500.0, "told"
-    )
+def test_effective_objective_never_exceeds_the_timeout():
+    parsed = version.read(b'version 1\nroutes { route "look" timeout=(ms)500 }', FRONT_LIMITS)
+    assert rules.effective_limits(parsed.entries, FRONT_LIMITS).routes["look"][
+        "objective"
+    ] == rules.EffectiveValue(500.0, "told")
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_longest_prefixes_decide_as_a_plain_list_does(seed):
-    r = random.Random(seed)
-    nets = {}
+def test_longest_prefix_lookup_agrees_with_linear_search(seed):
+    rng = random.Random(seed)
+    prefixes = {}
     for _ in range(30):
-        bits = r.randrange(0, 33)
-        base = r.getrandbits(32) >> (32 - bits) << (32 - bits) if bits else 0
-        nets[f"{base >> 24}.{base >> 16 & 255}.{base >> 8 & 255}.{base & 255}/{bits}"] = r.random() < 0.5
-    made, plain = Networks(nets.items()), LinearNetworks(nets.items())
-    for prefix in nets:
+        bits = rng.randrange(0, 33)
+        base = rng.getrandbits(32) >> (32 - bits) << (32 - bits) if bits else 0
+        prefixes[f"{base >> 24}.{base >> 16 & 255}.{base >> 8 & 255}.{base & 255}/{bits}"] = (
+            rng.random() < 0.5
+        )
+    networks, reference = Networks(prefixes.items()), LinearNetworks(prefixes.items())
+    for prefix in prefixes:
         address = prefix.partition("/")[0]
-        assert made.admits(address) == plain.admits(address)
+        assert networks.admits(address) == reference.admits(address)
     with pytest.raises(ValueError):
-        made.admits("no address")
+        networks.admits("no address")
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -220,11 +236,11 @@
     st.dictionaries(st.tuples(st.sampled_from("ab"), st.text("xyz", max_size=2)), st.integers(0, 3)),
     st.dictionaries(st.tuples(st.sampled_from("ab"), st.text("xyz", max_size=2)), st.integers(0, 3)),
 )
-def test_a_difference_leads_from_one_content_to_the_other_and_back(one, other):
-    a, b = entries.NO_ENTRIES.update(one), entries.NO_ENTRIES.update(other)
-    there, back = entries.diff(a, b), entries.diff(b, a)
-    assert entries.apply_delta(a, there) == b and entries.apply_delta(b, back) == a
-    assert (entries.content_digest(a) == entries.content_digest(b)) == (one == other) == (len(there) == 0)
+def test_difference_transforms_entries_in_both_directions(one, other):
+    old, new = entries.NO_ENTRIES.update(one), entries.NO_ENTRIES.update(other)
+    there, back = entries.diff(old, new), entries.diff(new, old)
+    assert entries.apply_delta(old, there) == new and entries.apply_delta(new, back) == old
+    assert (entries.content_digest(old) == entries.content_digest(new)) == (one == other) == (len(there) == 0)
 
 
 # --- the command line ---
@@ -232,88 +248,99 @@
 
 @pytest.fixture
 def run(tmp_path):
-    """Runs ``config`` over files given by their texts; exit code and what was printed."""
+    """Runs ``config`` on files that are given by their texts. Returns the exit code and the output."""
 
-    def call(*words, **texts):
+    def invoke(*arguments, **texts):
         for name, text in texts.items():
             (tmp_path / f"{name}.kdl").write_bytes(text)
         (tmp_path / "node.json").write_bytes(orjson.dumps(build_config()))
-        paths = [str(tmp_path / w) if w.endswith((".kdl", ".json")) else w for w in words]
+        paths = [
+            str(tmp_path / argument) if argument.endswith((".kdl", ".json")) else argument
+            for argument in arguments
+        ]
         result = CliRunner().invoke(commands.config, paths)
         return result.exit_code, result.output.replace(f"{tmp_path}/", "")
 
-    return call
+    return invoke
 
 
-def test_check_says_every_mistake_of_every_file_and_fails_by_its_exit_code(run):
-    code, said = run("check", "a.kdl", "b.kdl", a=b"version 1", b=b"version 0\ntrail")
-    assert code == 1 and said.splitlines()[0] == "a.kdl: version 1, 0 entries, fine"
-    assert [line[:10] for line in said.splitlines()[1:]] == ["b.kdl:1:1:", "b.kdl:2:1:"]
+def test_check_reports_every_mistake_of_every_file_and_exits_with_1(run):
+    exit_code, output = run("check", "a.kdl", "b.kdl", a=b"version 1", b=b"version 0\ntrail")
+    assert exit_code == 1 and output.splitlines()[0] == "a.kdl: version 1, 0 entries, fine"
+    assert [line[:10] for line in output.splitlines()[1:]] == ["b.kdl:1:1:", "b.kdl:2:1:"]
     assert run("check", "a.kdl", a=b"version 1")[0] == 0 and run("check", "none.kdl")[0] == 2
-    code, said = run("check", "--json", "b.kdl", b=b"version 0")
-    assert code == 1 and orjson.loads(said)[0]["code"] == "range"
+    exit_code, output = run("check", "--json", "b.kdl", b=b"version 0")
+    assert exit_code == 1 and orjson.loads(output)[0]["code"] == "range"
 
 
-def test_check_against_a_front_holds_the_rules(run):
+def test_check_against_a_front_applies_the_rules(run):
     text = b'version 1\nroutes { route "look" most-tries=9 }'
     assert run("check", "a.kdl", a=text)[0] == 0
-    code, said = run("check", "a.kdl", "--against", "node.json", a=text)
-    assert code == 1 and "widens" in said
+    exit_code, output = run("check", "a.kdl", "--against", "node.json", a=text)
+    assert exit_code == 1 and "widens" in output
 
 
 def test_diff_and_show(run):
     old = b'version 1\ntrial most-share=0.1\nroutes { route "look" most-tries=1 }'
     new = b'version 2\nroutes { route "look" most-tries=2 timeout=(s)1 }'
     assert run("diff", "a.kdl", "a.kdl", a=old) == (0, "")
-    code, said = run("diff", "a.kdl", "b.kdl", a=old, b=new)
-    assert code == 1 and said.splitlines() == [
+    exit_code, output = run("diff", "a.kdl", "b.kdl", a=old, b=new)
+    assert exit_code == 1 and output.splitlines() == [
         "~ route look most-tries: 1 -> 2",
         "+ route look timeout: 1000.0",
         "- trial most-share: 0.1",
     ]
-    code, said = run("show", "b.kdl", "--against", "node.json", b=new)
+    exit_code, output = run("show", "b.kdl", "--against", "node.json", b=new)
     assert (
-        code == 0
-        and "route look most-tries: 2 (b.kdl:2:10)" in said
-        and "route book most-tries: 3 (told)" in said
+        exit_code == 0
+        and "route look most-tries: 2 (b.kdl:2:10)" in output
+        and "route book most-tries: 3 (told)" in output
     )
     assert run("show", "a.kdl", "--against", "node.json", a=b"version 0")[0] == 1
 
 
-# --- at the door and in the module ---
+# --- request limits and narrowed settings ---
 
 
-def test_a_tenants_rate_and_open_reqs_bound_it_and_no_other():
-    v = version.read(b'version 1\ntenants { tenant "acme" rate=(per-s)2 most-open=3 }', TOLD)
-    gate = RequestLimits()
-    gate.update(rules.effective_limits(v.entries, TOLD), 0.0)
-    assert [gate.admit("acme", 0.0) for _ in range(2)] == [None, None]
-    assert gate.admit("acme", 0.0) == pytest.approx(500.0) and gate.admit("acme", 499.0) == pytest.approx(1.0)
-    assert gate.admit("acme", 500.0) is None and gate.admit("acme", 5000.0) == 500.0  # three are open
-    gate.release("acme")
-    assert gate.admit("acme", 5000.0) is None and gate.admit("other", 0.0) is None
-    gate.update(None, 6000.0)
-    assert [gate.admit("acme", 6000.0) for _ in range(50)] == [None] * 50 and len(gate.usage) == 1
+def test_rate_and_open_requests_limit_only_their_tenant():
+    parsed = version.read(b'version 1\ntenants { tenant "acme" rate=(per-s)2 most-open=3 }', FRONT_LIMITS)
+    request_limits = RequestLimits()
+    request_limits.update(rules.effective_limits(parsed.entries, FRONT_LIMITS), 0.0)
+    assert [request_limits.admit("acme", 0.0) for _ in range(2)] == [None, None]
+    assert request_limits.admit("acme", 0.0) == pytest.approx(500.0) and request_limits.admit(
+        "acme", 499.0
+    ) == pytest.approx(1.0)
+    # Three requests are open.
+    assert request_limits.admit("acme", 500.0) is None and request_limits.admit("acme", 5000.0) == 500.0
+    request_limits.release("acme")
+    assert request_limits.admit("acme", 5000.0) is None and request_limits.admit("other", 0.0) is None
+    request_limits.update(None, 6000.0)
+    assert [request_limits.admit("acme", 6000.0) for _ in range(50)] == [None] * 50 and len(
+        request_limits.usage
+    ) == 1
 
 
-def test_a_told_quota_alone_refuses_nobody():
-    gate = RequestLimits()
-    gate.update(rules.effective_limits(entries.NO_ENTRIES, TOLD), 0.0)
-    assert [gate.admit("acme", 0.0) for _ in range(200)] == [None] * 200
+def test_quota_of_the_settings_alone_refuses_no_request():
+    request_limits = RequestLimits()
+    request_limits.update(rules.effective_limits(entries.NO_ENTRIES, FRONT_LIMITS), 0.0)
+    assert [request_limits.admit("acme", 0.0) for _ in range(200)] == [None] * 200
 
 
-def test_facts_are_narrowed_and_never_widened():
-    told = decode_node_config(orjson.dumps(build_config()))
-    v = version.read(
+def test_settings_are_narrowed_and_never_widened():
+    node_config = decode_node_config(orjson.dumps(build_config()))
+    parsed = version.read(
         b'version 1\nroutes { route "look" timeout=(ms)900 most-tries=1 }\ntrial most-share=0.05'
     )
-    bounds = rules.effective_limits(v.entries, told.limits())
-    got = narrowed_settings(told.facts, bounds, ["look", "book"], ["acme"])
-    look, book = got.settings.routes
+    limits = rules.effective_limits(parsed.entries, node_config.limits())
+    narrowed = narrowed_settings(node_config.facts, limits, ["look", "book"], ["acme"])
+    look, book = narrowed.settings.routes
     assert (look.timeout_ms, look.objective_ms, look.max_attempts) == (900.0, 800.0, 1)
-    assert (book.timeout_ms, book.max_attempts, got.max_trial_share) == (2000.0, 3, 0.05)
+    assert (book.timeout_ms, book.max_attempts, narrowed.max_trial_share) == (2000.0, 3, 0.05)
     wide = version.read(b'version 1\nroutes { route "look" timeout=(s)90 most-tries=99 }')
-    got = narrowed_settings(
-        told.facts, rules.effective_limits(wide.entries, told.limits()), ["look", "book"], ["acme"]
+    narrowed = narrowed_settings(
+        node_config.facts,
+        rules.effective_limits(wide.entries, node_config.limits()),
+        ["look", "book"],
+        ["acme"],
     )
-    assert got.settings.routes[0].timeout_ms == 2000.0 and got.settings.routes[0].max_attempts == 3
+    assert narrowed.settings.routes[0].timeout_ms == 2000.0 and narrowed.settings.routes[0].max_attempts == 3
