--- a/myrtleroad/config/__init__.py
+++ b/myrtleroad/config/__init__.py
@@ -1,4 +1,5 @@
-"""Versions of what operators set: the document, its rules, the ledger of versions, and how they travel.
+"""Configuration versions that operators publish: the document format, its rules, the ledger of versions and
+the frames in which they travel.
 
-Everything here is free of I/O, clocks and sockets; time (float ms) and chance are passed in. ``net/`` and
-``control/`` carry it out."""
+Nothing here does I/O or uses clocks and sockets; time (float ms) and randomness are passed in. ``net/``
+and ``control/`` carry out the results."""
--- a/myrtleroad/config/narrowing.py
+++ b/myrtleroad/config/narrowing.py
@@ -1,4 +1,4 @@
-"""The facts of a front, narrowed by what holds in effect of a version."""
+"""Narrows the settings of a front to the effective limits of a version."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -8,25 +8,27 @@
 
 
 def narrowed_settings(
-    settings: i.Settings, bounds: EffectiveLimits, routes: Iterable[str], tenants: Iterable[str]
+    settings: i.Settings, limits: EffectiveLimits, routes: Iterable[str], tenants: Iterable[str]
 ) -> i.SettingsNarrowed:
-    """``routes`` and ``tenants``: their names in the order of the facts. Never more than the facts allow."""
-    narrowed = []
+    """Returns narrowed settings. ``routes`` and ``tenants`` are the names in the order of the settings.
+    The result never allows more than the settings do."""
+    narrowed_routes = []
     for route, name in zip(settings.routes, routes, strict=True):
-        b = bounds.routes[name]
-        narrowed.append(
+        route_limits = limits.routes[name]
+        narrowed_routes.append(
             replace(
                 route,
-                objective_ms=min(route.objective_ms, b["objective"].value),
-                timeout_ms=min(route.timeout_ms, b["timeout"].value),
-                max_attempts=int(b["most-tries"].value),
-                retry_budget=b["retry-budget"].value,
+                objective_ms=min(route.objective_ms, route_limits["objective"].value),
+                timeout_ms=min(route.timeout_ms, route_limits["timeout"].value),
+                max_attempts=int(route_limits["most-tries"].value),
+                retry_budget=route_limits["retry-budget"].value,
             )
         )
-    quotas = [
-        replace(t, quota_per_s=min(t.quota_per_s, bounds.tenants[name]["rate"].value))
-        for t, name in zip(settings.tenants, tenants, strict=True)
+    narrowed_tenants = [
+        replace(tenant, quota_per_s=min(tenant.quota_per_s, limits.tenants[name]["rate"].value))
+        for tenant, name in zip(settings.tenants, tenants, strict=True)
     ]
     return i.SettingsNarrowed(
-        replace(settings, routes=tuple(narrowed), tenants=tuple(quotas)), bounds.trial_share.value
+        replace(settings, routes=tuple(narrowed_routes), tenants=tuple(narrowed_tenants)),
+        limits.trial_share.value,
     )
--- a/myrtleroad/config/networks.py
+++ b/myrtleroad/config/networks.py
@@ -1,4 +1,4 @@
-"""Which client addresses are admitted: the longest prefix that holds an address decides."""
+"""Decides which client addresses are admitted: the longest prefix that contains an address decides."""
 
 from collections.abc import Iterable, Iterator
 from ipaddress import ip_address, ip_network
@@ -7,8 +7,8 @@
 
 
 class Networks:
-    """A set of prefixes (IPv4 and IPv6), made once a version, in slices where it is large, and only read
-    afterwards."""
+    """A set of IPv4 and IPv6 prefixes. Built once for each version, in slices if it is large, and only
+    read afterwards."""
 
     __slots__ = ("default", "tree")
 
@@ -17,33 +17,42 @@
             pass
 
     def build_in_slices(
-        self, prefixes: Iterable[tuple[str, bool]], default: bool, step: int = 128
+        self, prefixes: Iterable[tuple[str, bool]], default: bool, prefixes_per_slice: int = 128
     ) -> Iterator[None]:
+        """Builds the set; yields after every ``prefixes_per_slice`` prefixes."""
         self.default, self.tree = default, radix.Radix()
-        for n, (prefix, admitted) in enumerate(prefixes, 1):
+        for count, (prefix, admitted) in enumerate(prefixes, 1):
             self.tree.add(prefix).data["admits"] = admitted
-            if n % step == 0:
+            if count % prefixes_per_slice == 0:
                 yield
 
     def admits(self, address: str) -> bool:
-        """Raises ValueError where it is no address."""
+        """Whether a client address is admitted. Raises ValueError if it is not an address."""
         node = self.tree.search_best(address)
         return self.default if node is None else node.data["admits"]
 
     def matching_prefix(self, address: str) -> str | None:
-        """The longest prefix that holds an address, as it was given."""
+        """The longest prefix that contains an address, as it was given."""
         node = self.tree.search_best(address)
         return None if node is None else node.prefix
 
 
 class LinearNetworks:
-    """The same by a list that is gone through: what ``Networks`` is measured and checked against."""
+    """The same by a linear search: the reference that ``Networks`` is tested and measured against."""
 
     def __init__(self, prefixes: Iterable[tuple[str, bool]], default: bool = True):
-        nets = [(ip_network(p), admitted) for p, admitted in prefixes]
-        self.networks = sorted(nets, key=lambda n: -n[0].prefixlen)
+        networks = [(ip_network(prefix), admitted) for prefix, admitted in prefixes]
+        self.networks = sorted(networks, key=lambda network: -network[0].prefixlen)
         self.default = default
 
     def admits(self, address: str) -> bool:
-        ip = ip_address(address)
-        return next((a for n, a in self.networks if n.version == ip.version and ip in n), self.default)
+        """Whether a client address is admitted. Raises ValueError if it is not an address."""
+        parsed = ip_address(address)
+        return next(
+            (
+                admitted
+                for network, admitted in self.networks
+                if network.version == parsed.version and parsed in network
+            ),
+            self.default,
+        )
--- a/myrtleroad/config/request_limits.py
+++ b/myrtleroad/config/request_limits.py
@@ -1,4 +1,5 @@
-"""Whether a req may come in at all by what operators set: its tenant's rate and open reqs. Free of I/O."""
+"""Admission limits that operators set: the request rate and the number of open requests of each tenant.
+Does no I/O."""
 
 from dataclasses import dataclass
 
@@ -7,7 +8,7 @@
 
 @dataclass(slots=True)
 class TenantUsage:
-    """One tenant's: tokens left of its rate, when they were counted, reqs that are open."""
+    """Usage of one tenant: tokens left of its rate, when they were counted, and its open requests."""
 
     tokens: float
     counted_at_ms: float
@@ -15,8 +16,8 @@
 
 
 class RequestLimits:
-    """A token bucket of one second a tenant, and a bound on its open reqs. As many rows as the settings have
-    tenants."""
+    """A token bucket per tenant that holds one second of its rate, and a limit on its open requests.
+    Memory is bounded by the number of tenants in the settings."""
 
     __slots__ = ("max_open", "max_rates", "usage")
 
@@ -25,35 +26,44 @@
         self.max_rates: dict[str, float] = {}
         self.max_open: dict[str, float] = {}
 
-    def update(self, bounds: EffectiveLimits | None, now: float) -> None:
-        """Bounds of now; reqs that are open stay counted, tokens are cut to the new rate."""
-        if bounds is None:
-            self.usage.clear()  # nobody counts any more, so nobody would give back
-        tenants = bounds.tenants if bounds is not None else {}
-        rate = {n: b["rate"] for n, b in tenants.items()}
-        # Guards against refusing by the told quota, which says what is worth less, not what is forbidden.
-        self.max_rates = {n: b.value for n, b in rate.items() if b.source == "version"}
-        self.max_open = {n: b["most-open"].value for n, b in tenants.items()}
-        for name, most in self.max_rates.items():
-            count = self.usage.setdefault(name, TenantUsage(most, now))
-            count.tokens = min(count.tokens, max(1.0, most))
+    def update(self, limits: EffectiveLimits | None, now: float) -> None:
+        """Sets new limits. Open requests stay counted, and tokens are cut to the new rate."""
+        if limits is None:
+            self.usage.clear()  # nothing is counted without limits, so nothing would be released
+        tenants = limits.tenants if limits is not None else {}
+        tenant_rates = {tenant: effective["rate"] for tenant, effective in tenants.items()}
+        # Guards against refusing requests by the quota of the platform's settings: it says which requests
+        # have less benefit, not which are forbidden.
+        self.max_rates = {
+            tenant: effective.value
+            for tenant, effective in tenant_rates.items()
+            if effective.source == "version"
+        }
+        self.max_open = {tenant: effective["most-open"].value for tenant, effective in tenants.items()}
+        for tenant, max_rate in self.max_rates.items():
+            tenant_usage = self.usage.setdefault(tenant, TenantUsage(max_rate, now))
+            tenant_usage.tokens = min(tenant_usage.tokens, max(1.0, max_rate))
 
     def admit(self, tenant: str, now: float) -> float | None:
-        """None where the req may come in, and is counted open; else after how many ms another may. Every one
-        let in is given back by ``leave``."""
-        count = self.usage.setdefault(tenant, TenantUsage(0.0, now))
+        """Admits a request and counts it as open (None), or returns after how many ms another may be
+        admitted. Each admitted request has to be released with ``release``."""
+        tenant_usage = self.usage.setdefault(tenant, TenantUsage(0.0, now))
         rate = self.max_rates.get(tenant)
-        if count.open_requests >= self.max_open.get(tenant, float("inf")):
-            return 1000.0 / rate if rate else 100.0  # an open req's end is not known: some tenths
+        if tenant_usage.open_requests >= self.max_open.get(tenant, float("inf")):
+            # The end of an open request is not known: some tenths of a second.
+            return 1000.0 / rate if rate else 100.0
         if rate is not None:
-            count.tokens = min(max(1.0, rate), count.tokens + (now - count.counted_at_ms) * rate / 1000)
-            count.counted_at_ms = now
-            if count.tokens < 1.0:
-                return (1.0 - count.tokens) * 1000 / rate if rate > 0 else 1000.0
-            count.tokens -= 1.0
-        count.open_requests += 1
+            tenant_usage.tokens = min(
+                max(1.0, rate), tenant_usage.tokens + (now - tenant_usage.counted_at_ms) * rate / 1000
+            )
+            tenant_usage.counted_at_ms = now
+            if tenant_usage.tokens < 1.0:
+                return (1.0 - tenant_usage.tokens) * 1000 / rate if rate > 0 else 1000.0
+            tenant_usage.tokens -= 1.0
+        tenant_usage.open_requests += 1
         return None
 
     def release(self, tenant: str) -> None:
-        if (count := self.usage.get(tenant)) is not None and count.open_requests:
-            count.open_requests -= 1
+        """An admitted request has ended."""
+        if (tenant_usage := self.usage.get(tenant)) is not None and tenant_usage.open_requests:
+            tenant_usage.open_requests -= 1
