--- a/myrtleroad/config/frames.py
+++ b/myrtleroad/config/frames.py
@@ -1,4 +1,5 @@
-"""Frames between control service and front, free of sockets. docs/formats/config-stream.md is their page.
+"""Frames between control service and front, without sockets. The format is described in
+docs/formats/config-stream.md.
 
 A frame is four bytes of length (big-endian, of what follows), one byte of kind, and a JSON object in
 UTF-8."""
@@ -12,50 +13,52 @@
 from myrtleroad.config.document import MAX_DOCUMENT_BYTES
 
 HEADER = struct.Struct("!IB")
-MAX_FRAME_BYTES = (
-    2 * MAX_DOCUMENT_BYTES
-)  # a document's text as JSON, escapes included; told before it is read
+# A document as JSON with escapes; checked before reading.
+MAX_FRAME_BYTES = 2 * MAX_DOCUMENT_BYTES
 KINDS = {
-    1: "hello",  # front: who it is, what it holds
-    2: "offer",  # control: a version, whole or as a difference
+    1: "hello",  # front: its name and the version that it holds
+    2: "offer",  # control: a version, as a whole or as a difference
     3: "answer",  # front: the one final answer to an offer
-    4: "confirm",  # control: the operator stands by a version
-    5: "back",  # front: a version that was acknowledged went back by itself
-    6: "alive",  # either: a sign of life, sent where nothing else was
+    4: "confirm",  # control: the operator has confirmed a version
+    5: "back",  # front: an acknowledged version was rolled back
+    6: "alive",  # either: a heartbeat, sent if nothing else was
     7: "bye",  # either: why this side ends the stream
 }
-KIND_NUMBERS = {word: number for number, word in KINDS.items()}
+KIND_NUMBERS = {kind: number for number, kind in KINDS.items()}
 
 
 class FrameError(Exception):
-    """What came is no stream of frames; the connection is of no further use."""
+    """The received data is not a stream of frames; the connection has to be closed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Frame:
+    """One decoded frame."""
+
     kind: str
     fields: dict[str, Any]
 
 
 def encode_frame(kind: str, **fields: Any) -> bytes:
+    """The bytes of one frame. Raises ValueError if it is larger than MAX_FRAME_BYTES."""
     body = orjson.dumps(fields)
     if len(body) + 1 > MAX_FRAME_BYTES:
-        raise ValueError(f"a frame of {len(body) + 1} bytes; {MAX_FRAME_BYTES} are allowed")
+        raise ValueError(f"a frame of {len(body) + 1} bytes; at most {MAX_FRAME_BYTES} are allowed")
     return HEADER.pack(len(body) + 1, KIND_NUMBERS[kind]) + body
 
 
 class FrameDecoder:
-    """Bytes cut anywhere become frames. Holds at most one frame that is not whole, and no more of it than has
-    come: a length alone reserves nothing."""
+    """Decodes frames from bytes that are split anywhere. Buffers at most one incomplete frame, and no more
+    of it than has arrived: a length alone allocates nothing."""
 
     __slots__ = ("buffer", "frame_length")
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.frame_length: int | None = None  # of the frame that is coming
+        self.frame_length: int | None = None  # of the frame being received
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that are whole now. Raises Spoilt."""
+        """Returns the frames that are complete now. Raises FrameError."""
         self.buffer += data
         frames = []
         while True:
@@ -74,15 +77,16 @@
             del self.buffer[: 4 + self.frame_length]
             self.frame_length = None
             if kind is None:
-                continue  # of a later protocol: passed over
+                continue  # of a later protocol version: skipped
             frames.append(Frame(kind, self.decode_fields(body)))
 
     @staticmethod
     def decode_fields(body: bytes) -> dict[str, Any]:
+        """The fields of a frame. Raises FrameError if the body is not a JSON object."""
         try:
             fields = orjson.loads(body)
         except orjson.JSONDecodeError as error:
-            raise FrameError(f"a frame that is no JSON: {error}") from None
+            raise FrameError(f"a frame that is not valid JSON: {error}") from None
         if not isinstance(fields, dict):
-            raise FrameError("a frame that is no object")
+            raise FrameError("a frame that is not a JSON object")
         return fields
--- a/myrtleroad/config/ledger.py
+++ b/myrtleroad/config/ledger.py
@@ -1,13 +1,15 @@
-"""What a front has been offered, holds and has held: the state machine of versions.
+"""The state machine of configuration versions at a front: what was offered, what is in force and what was in
+force before.
 
-Terms map one to one on a discovery protocol's: an offer is a response with a version and a nonce,
-``acked`` and ``refused`` (with a code and a text) are its ACK and NACK. An epoch is one life of the
-control service's numbering; a later one is higher. Within an epoch numbers go up, also for a roll-back,
-which is older content under a new number. Each offer gets exactly one final answer on the stream that
-brought it, or none where that stream is gone.
+The terms correspond to those of a discovery protocol: an offer is a response with a version and a nonce,
+``acked`` and ``refused`` (with a code and a text) are its ACK and NACK. An epoch is one sequence of numbers
+of the control service; a later epoch is higher. Within an epoch numbers only increase, also for a rollback,
+which is older content under a new number. Each offer gets exactly one final answer on the stream that brought
+it, or none if that stream is gone.
 
-Pure: the caller reads and checks (``Check``), applies (``Apply``) and sends (``Answer``, ``Tell``), and says
-what came of it. Checking may take many turns; a newer offer on the way takes its place."""
+Does no I/O: the caller reads and checks offers (``CheckOffer``), applies versions (``ApplyVersion``),
+sends frames (``OfferAnswer``, ``ReportRollback``), and reports each result. A check may take many turns of
+the event loop; a newer offer replaces it meanwhile."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -16,49 +18,53 @@
 
 
 class VersionState(IntEnum):
-    """Where a version stands at this front."""
+    """State of a version at this front."""
 
     OFFERED = 0
-    CHECKED = 1  # it keeps its rules; being applied
-    APPLIED = 2  # in force, waiting to be confirmed where it asks for that
+    CHECKED = 1  # valid; being applied
+    APPLIED = 2  # in force, waiting for confirmation if it requires one
     CONFIRMED = 3
     REFUSED = 4
-    SUPERSEDED = 5  # a newer one came before it was looked at, or was in force after it
-    ROLLED_BACK = 6  # it was in force and its confirmation did not come, or its applying failed
+    SUPERSEDED = 5  # a newer one arrived before the check ended, or came into force after it
+    ROLLED_BACK = 6  # its confirmation did not come in time, or applying it failed
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class VersionId:
-    """Which version: ordered by epoch, then number."""
+    """Identifies a version; ordered by epoch, then number."""
 
     epoch: int
     number: int
 
 
-NO_VERSION = VersionId(0, 0)  # what the settings alone say
+NO_VERSION = VersionId(0, 0)  # the settings alone, without operators' limits
 
 
 @dataclass(slots=True, frozen=True)
 class Offer:
+    """A version that was offered on a stream; ``nonce`` connects it with its answer."""
+
     stream: int
     nonce: int
     version: VersionId
-    digest: str  # of its content
+    digest: str  # of the content
     confirm_ms: float | None = None
-    body: Any = None  # opaque: what the check reads
+    body: Any = None  # opaque to the ledger; read by the check
 
 
-# --- what is to be done ---
+# --- actions for the caller ---
 
 
 @dataclass(slots=True, frozen=True)
 class CheckOffer:
+    """Check this offer and report the result to ``check_finished``."""
+
     offer: Offer
 
 
 @dataclass(slots=True, frozen=True)
 class ApplyVersion:
-    """All or nothing; ``applied`` says what came of it."""
+    """Apply this version, all or nothing, and report the result to ``apply_finished``."""
 
     version: VersionId
 
@@ -73,12 +79,12 @@
     acked: bool
     code: str = ""
     text: str = ""
-    path: tuple[str, ...] = ()  # of the entry at fault, where it is one
+    path: tuple[str, ...] = ()  # of the entry at fault, if there is one
 
 
 @dataclass(slots=True, frozen=True)
 class ReportRollback:
-    """That a version was rolled back after it had been acknowledged; goes to every stream that stands."""
+    """Report on every open stream that a version was rolled back after its acknowledgement."""
 
     version: VersionId
     back_to: VersionId
@@ -90,7 +96,7 @@
 
 @dataclass(slots=True)
 class HeldVersion:
-    """A version whose content is kept."""
+    """A version that is or was known here, with the digest of its content."""
 
     version: VersionId
     digest: str
@@ -98,7 +104,9 @@
 
 
 class Ledger:
-    MAX_PAST = 100  # names of versions past, with their digests: to tell repeats; the oldest are forgotten
+    """The versions of one front. Each event returns the actions that the caller has to carry out."""
+
+    MAX_PAST = 100  # past versions with their digests, to recognize repeated offers; the oldest are dropped
 
     __slots__ = (
         "confirm_deadline_ms",
@@ -111,25 +119,26 @@
         "streams",
     )
 
-    def __init__(self, good: HeldVersion | None = None, highest: VersionId = NO_VERSION):
-        """``good``: the last good version of an earlier life, in force from the start; ``highest``: the
-        highest name that was ever in force."""
-        self.in_force = self.last_good = good or HeldVersion(NO_VERSION, "", VersionState.CONFIRMED)
+    def __init__(self, last_good: HeldVersion | None = None, highest: VersionId = NO_VERSION):
+        """``last_good``: the last good version from before a restart, in force from the start.
+        ``highest``: the highest version that was ever in force."""
+        self.in_force = self.last_good = last_good or HeldVersion(NO_VERSION, "", VersionState.CONFIRMED)
         self.highest = max(highest, self.in_force.version)
         self.confirm_deadline_ms: float | None = None
         self.streams: set[int] = set()
         self.in_progress: tuple[Offer, VersionState] | None = None  # being checked or applied
-        self.pending: Offer | None = None  # the newest that came meanwhile
+        self.pending: Offer | None = None  # the newest offer that arrived meanwhile
         self.past: deque[HeldVersion] = deque(maxlen=self.MAX_PAST)
 
     # --- streams ---
 
     def stream_opened(self, stream: int) -> None:
+        """A stream to a control service was opened."""
         self.streams.add(stream)
 
     def stream_closed(self, stream: int) -> None:
-        """Nothing more is owed on it. What is being applied is carried through: a version that is good is no
-        worse for a stream that broke."""
+        """Offers of this stream get no answers any more. A version that is being applied is completed: the
+        loss of its stream doesn't make it worse."""
         self.streams.discard(stream)
         if self.pending is not None and self.pending.stream == stream:
             self.pending = None
@@ -137,24 +146,29 @@
     # --- offers ---
 
     def offer_received(self, offer: Offer) -> list[LedgerAction]:
+        """Answers an offer, starts its check or queues it."""
         if offer.stream not in self.streams:
             return []
-        known = self.known_answer(offer)
-        if known is not None:
-            return [known]
+        answer = self.known_answer(offer)
+        if answer is not None:
+            return [answer]
         if self.in_progress is not None:
-            work, mark = self.in_progress
-            if (offer.version, offer.digest) == (work.version, work.digest):
-                # Guards against applying twice what came again on a new stream: it is answered after the
-                # first.
+            current, state = self.in_progress
+            if (offer.version, offer.digest) == (current.version, current.digest):
+                # Guards against applying a version twice that was offered again on a new stream: the second
+                # offer is answered after the first.
                 return self.queue_offer(offer)
-            if offer.version <= work.version:
-                return [self.refusal(offer, "older", f"{describe_version(work.version)} is being looked at")]
-            if mark == VersionState.OFFERED:
-                # Guards against a front that never finishes as newer ones keep coming: only the newest
-                # counts.
-                self.past.append(HeldVersion(work.version, work.digest, VersionState.SUPERSEDED))
-                superseded = self.refusal(work, "superseded", f"{describe_version(offer.version)} came")
+            if offer.version <= current.version:
+                return [
+                    self.refusal(
+                        offer, "older", f"{describe_version(current.version)} is being checked or applied"
+                    )
+                ]
+            if state == VersionState.OFFERED:
+                # Guards against a front that never finishes a check because newer versions keep arriving:
+                # only the newest counts.
+                self.past.append(HeldVersion(current.version, current.digest, VersionState.SUPERSEDED))
+                superseded = self.refusal(current, "superseded", f"{describe_version(offer.version)} came")
                 self.in_progress = (offer, VersionState.OFFERED)
                 return [*self.if_stream_open(superseded), CheckOffer(offer)]
             return self.queue_offer(offer)
@@ -162,31 +176,31 @@
         return [CheckOffer(offer)]
 
     def queue_offer(self, offer: Offer) -> list[LedgerAction]:
-        """While another is being applied, the newest of those that come waits."""
-        last, self.pending = self.pending, offer
-        if last is None:
+        """Queues an offer while another version is being applied. Only the newest queued offer is kept."""
+        earlier, self.pending = self.pending, offer
+        if earlier is None:
             return []
-        if last.version > offer.version:
-            self.pending = last
-            return [self.refusal(offer, "older", f"{describe_version(last.version)} waits")]
+        if earlier.version > offer.version:
+            self.pending = earlier
+            return [self.refusal(offer, "older", f"{describe_version(earlier.version)} is queued")]
         return self.if_stream_open(
-            self.refusal(last, "superseded", f"{describe_version(offer.version)} came")
+            self.refusal(earlier, "superseded", f"{describe_version(offer.version)} came")
         )
 
     def known_answer(self, offer: Offer) -> OfferAnswer | None:
-        """The answer to what needs no check."""
+        """The answer to an offer that needs no check, or None."""
         if offer.version == self.in_force.version:
             if offer.digest == self.in_force.digest:
                 return OfferAnswer(offer.stream, offer.nonce, offer.version, True)
             return self.refusal(
                 offer, "other-content", f"{describe_version(offer.version)} is in force with other content"
             )
-        for held in self.past:
-            if held.version == offer.version and held.state == VersionState.ROLLED_BACK:
+        for past_version in self.past:
+            if past_version.version == offer.version and past_version.state == VersionState.ROLLED_BACK:
                 return self.refusal(
                     offer, "rolled-back", f"{describe_version(offer.version)} was rolled back here"
                 )
-            if held.version == offer.version and held.digest != offer.digest:
+            if past_version.version == offer.version and past_version.digest != offer.digest:
                 return self.refusal(
                     offer,
                     "other-content",
@@ -201,7 +215,7 @@
     def check_finished(
         self, nonce: int, stream: int, code: str = "", text: str = "", path: tuple[str, ...] = ()
     ) -> list[LedgerAction]:
-        """What the check of an offer says; ``code`` and ``text`` where it is refused."""
+        """Result of the check of an offer; ``code`` and ``text`` if it is refused."""
         if self.in_progress is None or (self.in_progress[0].stream, self.in_progress[0].nonce) != (
             stream,
             nonce,
@@ -211,13 +225,14 @@
         if code:
             self.in_progress = None
             self.past.append(HeldVersion(offer.version, offer.digest, VersionState.REFUSED))
-            no = OfferAnswer(offer.stream, offer.nonce, offer.version, False, code, text, path)
-            return self.if_stream_open(no) + self.check_pending()
+            refusal = OfferAnswer(offer.stream, offer.nonce, offer.version, False, code, text, path)
+            return self.if_stream_open(refusal) + self.check_pending()
         self.in_progress = (offer, VersionState.CHECKED)
         return [ApplyVersion(offer.version)]
 
     def apply_finished(self, version: VersionId, now: float, fault: str = "") -> list[LedgerAction]:
-        """What came of applying: all of it is in force, or nothing, with a fault."""
+        """Result of applying a version: it is in force as a whole, or nothing changed and ``fault`` says
+        why."""
         if (
             self.in_progress is None
             or self.in_progress[0].version != version
@@ -233,8 +248,8 @@
                 HeldVersion(self.in_force.version, self.in_force.digest, VersionState.SUPERSEDED)
             )
         unconfirmed = offer.confirm_ms is not None
-        mark = VersionState.APPLIED if unconfirmed else VersionState.CONFIRMED
-        self.in_force = HeldVersion(version, offer.digest, mark)
+        state = VersionState.APPLIED if unconfirmed else VersionState.CONFIRMED
+        self.in_force = HeldVersion(version, offer.digest, state)
         self.highest = max(self.highest, version)
         self.confirm_deadline_ms = now + offer.confirm_ms if unconfirmed else None
         if not unconfirmed:
@@ -244,7 +259,7 @@
         )
 
     def confirm_received(self, version: VersionId) -> bool:
-        """The operator stands by a version. Whether there was something to confirm."""
+        """The operator has confirmed a version. Returns whether it was waiting for that."""
         if version != self.in_force.version or self.confirm_deadline_ms is None:
             return False
         self.confirm_deadline_ms, self.in_force.state = None, VersionState.CONFIRMED
@@ -252,35 +267,38 @@
         return True
 
     def tick(self, now: float) -> list[LedgerAction]:
-        """A version whose confirmation has not come goes back to the last good one. Guards against the change
-        that cuts off the way on which it could be taken back."""
+        """Rolls back a version that was not confirmed in time to the last good one. Guards against a
+        change that cuts off the connection over which it could be taken back."""
         if self.confirm_deadline_ms is None or now < self.confirm_deadline_ms:
             return []
-        gone, self.confirm_deadline_ms = self.in_force, None
-        self.past.append(HeldVersion(gone.version, gone.digest, VersionState.ROLLED_BACK))
+        expired, self.confirm_deadline_ms = self.in_force, None
+        self.past.append(HeldVersion(expired.version, expired.digest, VersionState.ROLLED_BACK))
         self.in_force = self.last_good
         return [
             ApplyVersion(self.last_good.version),
-            ReportRollback(gone.version, self.last_good.version, "not confirmed in time"),
+            ReportRollback(expired.version, self.last_good.version, "not confirmed in time"),
         ]
 
     def next_deadline(self) -> float:
+        """When ``tick`` has to be called at the latest (ms)."""
         return self.confirm_deadline_ms if self.confirm_deadline_ms is not None else float("inf")
 
     # --- helpers ---
 
     def check_pending(self) -> list[LedgerAction]:
-        """The one that waited is looked at now."""
+        """Starts the check of the queued offer, if there is one."""
         offer, self.pending = self.pending, None
         return self.offer_received(offer) if offer is not None else []
 
     def if_stream_open(self, answer: OfferAnswer) -> list[LedgerAction]:
-        """An answer, where the stream that it belongs to still stands."""
+        """The answer, if its stream is still open."""
         return [answer] if answer.stream in self.streams else []
 
     def refusal(self, offer: Offer, code: str, text: str) -> OfferAnswer:
+        """The answer that refuses an offer."""
         return OfferAnswer(offer.stream, offer.nonce, offer.version, False, code, text)
 
 
 def describe_version(version: VersionId) -> str:
+    """A version as text for messages."""
     return f"version {version.number} of epoch {version.epoch}"
