--- a/myrtleroad/control/__init__.py
+++ b/myrtleroad/control/__init__.py
@@ -1,1 +1,2 @@
-"""The control service: hands versions out to fronts, ring by ring, and halts by itself."""
+"""The control service: distributes configuration versions to fronts, ring by ring, and halts a rollout
+that fails."""
--- a/myrtleroad/control/folder.py
+++ b/myrtleroad/control/folder.py
@@ -1,8 +1,8 @@
-"""The numbered documents that a control service hands out, and its own numbers, in one folder.
+"""The folder of a control service: the numbered versions that it has published, and its state.
 
-``NAME.kdl`` files are the operator's, ``state.json`` is the service's: epoch, the versions published,
-and which of them every front should hold. It is written whole beside itself, synced and renamed, so that
-a cut leaves the old one or the new one."""
+``NAME.kdl`` files belong to the operator, ``state.json`` to the service: epoch, published versions, and
+the version that every front should hold. The state is written to a temporary file, synced and renamed, so
+that an interruption leaves either the old or the new state."""
 
 import contextlib
 import os
@@ -15,12 +15,12 @@
 
 
 class StateError(Exception):
-    """The folder's state can't be read; what is to be done is said."""
+    """The state of the folder can't be read; the text says how to recover."""
 
 
 @dataclass(slots=True)
 class Published:
-    """One version that was handed out."""
+    """One published version. Its fields are keys in state.json."""
 
     epoch: int
     number: int
@@ -28,44 +28,53 @@
     text: str
     confirm_ms: float | None = None
     note: str = ""
-    of: int | None = None  # the number that it brings back
+    of: int | None = None  # the number of the version that this one restores
 
 
 @dataclass(slots=True)
 class State:
+    """The state of a control service. Its fields are keys in state.json."""
+
     epoch: int = 0
     number: int = 0  # the highest of this epoch
-    base: tuple[int, int] = (0, 0)  # what every front should hold
-    published: list[Published] = field(default_factory=list)  # the newest KEPT
-    halted: str = ""  # why the last one was halted
-    fronts: list[str] = field(default_factory=list)  # that have come: a restarted service waits for them
+    base: tuple[int, int] = (0, 0)  # epoch and number of the version that every front should hold
+    published: list[Published] = field(default_factory=list)  # the newest MAX_KEPT
+    halted: str = ""  # why the last rollout was halted
+    # Names of known fronts: a restarted service waits for them.
+    fronts: list[str] = field(default_factory=list)
 
 
 class Folder:
-    MAX_KEPT = 100  # versions whose text can still be rolled back to
+    """The folder in which a control service keeps its state."""
+
+    MAX_KEPT = 100  # versions that can still be restored
 
     def __init__(self, path: Path):
         self.path = path
-        self.synced = True  # whether what was saved last is durable
+        self.synced = True  # whether the last saved state is durable
         path.mkdir(parents=True, exist_ok=True)
 
     def load(self) -> State:
+        """Reads the state; an empty one if there is none yet. Raises StateError if it can't be read."""
         file = self.path / STATE
         if not file.exists():
             return State()
         try:
-            m = orjson.loads(file.read_bytes())
-            versions = [Published(**p) for p in m["published"]]
-            fronts = [str(name) for name in m["fronts"]]
-            halted = str(m["halted"])
-            return State(int(m["epoch"]), int(m["number"]), tuple(m["base"]), versions, halted, fronts)
+            stored = orjson.loads(file.read_bytes())
+            versions = [Published(**version) for version in stored["published"]]
+            fronts = [str(name) for name in stored["fronts"]]
+            halted = str(stored["halted"])
+            return State(
+                int(stored["epoch"]), int(stored["number"]), tuple(stored["base"]), versions, halted, fronts
+            )
         except (KeyError, TypeError, ValueError) as error:
             raise StateError(
-                f"{file}: {error}; put back a copy, or remove it and begin at a higher epoch"
+                f"{file}: {error}; restore a copy, or remove the file and start again at a higher epoch"
             ) from None
 
     def save(self, state: State) -> None:
-        """Holds once this returns, so that numbers never go back. Raises OSError where the old one stands."""
+        """Saves the state. It is kept once this returns, so that numbers never decrease. Raises OSError if
+        the old state remains."""
         state.published = state.published[-self.MAX_KEPT :]
         text = orjson.dumps(
             {
@@ -74,31 +83,34 @@
                 "base": list(state.base),
                 "halted": state.halted,
                 "fronts": state.fronts,
-                "published": [{n: getattr(p, n) for n in p.__slots__} for p in state.published],
+                "published": [
+                    {field_name: getattr(version, field_name) for field_name in version.__slots__}
+                    for version in state.published
+                ],
             }
         )
-        beside = self.path / f".{STATE}.new"
+        temporary = self.path / f".{STATE}.new"
         try:
-            with beside.open("wb") as f:
-                f.write(text)
-                f.flush()
-                os.fsync(f.fileno())
-            os.replace(beside, self.path / STATE)
+            with temporary.open("wb") as opened:
+                opened.write(text)
+                opened.flush()
+                os.fsync(opened.fileno())
+            os.replace(temporary, self.path / STATE)
         except OSError:
             with contextlib.suppress(OSError):
-                beside.unlink()  # half a file on a full disk helps nobody
+                temporary.unlink()  # removes the incomplete file from a full disk
             raise
         self.synced = self.sync()
 
     def sync(self) -> bool:
-        """Whether the folder's entry for the newest state is durable too. The state itself holds from the
-        renaming on, for whoever starts next; only a loss of power could bring the one before back."""
+        """Syncs the folder; returns whether the directory entry of the newest state is durable too. The
+        new state is in place once it is renamed; only a power loss could bring back the previous one."""
         try:
-            at = os.open(self.path, os.O_RDONLY)
+            descriptor = os.open(self.path, os.O_RDONLY)
             try:
-                os.fsync(at)
+                os.fsync(descriptor)
             finally:
-                os.close(at)
+                os.close(descriptor)
         except OSError:
             return False
         return True
--- a/myrtleroad/control/numbering.py
+++ b/myrtleroad/control/numbering.py
@@ -1,27 +1,27 @@
-"""Which number a version gets, and whether it travels as a text or as a difference. Free of I/O."""
+"""The number of a new version, and whether it is sent as a text or as a difference. Does no I/O."""
 
 from myrtleroad.config.entries import Delta
 
 FIRST_EPOCH = 1
-BYTES_PER_ENTRY = (
-    40  # bytes that an entry takes in a text, about: a difference as long as the text saves nothing
-)
+BYTES_PER_ENTRY = 40  # approximate size of an entry in a text: a difference as long as the text saves nothing
 
 
 class NumberTaken(Exception):
-    """The number was given out before; its text says which is free."""
+    """The number is already in use; the text names the next free one."""
 
 
 def next_number(wanted: int | None, last: int) -> int:
-    """The number of a version: the one its text wants, or for a roll-back (None) the next. Raises Taken where
-    that does not go up."""
+    """The number of a new version: the one that its text requests, or the next for a rollback (None).
+    Raises NumberTaken if the number does not increase."""
     if wanted is None:
         return last + 1
     if wanted <= last:
-        raise NumberTaken(f"version {wanted}, but {last} has been published; number it {last + 1}")
+        raise NumberTaken(
+            f"version {wanted} is not higher than the published version {last}; number it {last + 1}"
+        )
     return wanted
 
 
 def worth_as_difference(delta: Delta, text_bytes: int) -> bool:
-    """Whether a difference is worth sending in place of a text of so many bytes."""
+    """Whether sending a difference takes less than a text of ``text_bytes`` bytes."""
     return BYTES_PER_ENTRY * len(delta) < text_bytes
--- a/myrtleroad/control/rollout.py
+++ b/myrtleroad/control/rollout.py
@@ -1,11 +1,10 @@
-"""How far a version goes: rings of fronts, halts, and the way back. Free of I/O; time (float ms) is
-passed in.
+"""Rollout of a version: rings of fronts, halts and rollbacks. Does no I/O; time (float ms) is passed in.
 
-A version goes to one ring of fronts at a time, the smallest first. A ring is done once every front of it
-that is there has acknowledged and the ring has been watched for a while. Refusals, fronts lost in the
-ring and fronts that went back by themselves count against it; past a stated share the rollout halts and stays
-halted until the operator rolls back, which publishes the older content under a new number to the fronts
-that have met the one that is halted."""
+A version goes to one ring of fronts at a time, the smallest first. A ring is done once every connected
+front in it has acknowledged and the ring has been watched for a while. Refusals, lost fronts and fronts
+that rolled back by themselves count as failures. Past a given share of failures the rollout halts and
+stays halted until the operator rolls back, which publishes the older content under a new number to the
+fronts that were offered the halted version."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -15,17 +14,19 @@
 
 
 class FrontState(IntEnum):
-    """Where a front stands with the version that is being rolled out."""
+    """State of a front in the current rollout."""
 
-    WAITING = 0  # its ring has not come
+    WAITING = 0  # its ring has not started
     OFFERED = 1
     ACKED = 2
     REFUSED = 3
-    BACK = 4  # it went back by itself
-    LOST = 5  # offered or acked, then gone for longer than a front takes to restart
+    BACK = 4  # it rolled back by itself
+    LOST = 5  # offered or acked, then disconnected for longer than a restart takes
 
 
 class VersionRolloutPhase(IntEnum):
+    """Phase of a rollout."""
+
     IDLE = 0
     ROLLING = 1
     HALTED = 2
@@ -34,10 +35,12 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutPlan:
-    """``rings``: share of the fronts by the end of each ring, the last is 1. ``bad_share``: of a ring's
-    fronts that may refuse, be lost or go back; one front past it halts. ``watch_ms``: a ring's least
-    time after its last acknowledgement. ``answer_ms``: for an answer, then it counts as lost.
-    ``away_ms``: a front's restart."""
+    """Parameters of a rollout.
+
+    ``rings``: share of all fronts by the end of each ring; the last is 1. ``bad_share``: share of a ring's
+    fronts that may refuse, be lost or roll back; one more halts the rollout. ``watch_ms``: how long a ring
+    is watched after its last acknowledgement, at least. ``answer_timeout_ms``: a front without an answer
+    for longer counts as lost. ``restart_timeout_ms``: how long a front may be disconnected for a restart."""
 
     rings: tuple[float, ...] = (0.1, 0.5, 1.0)
     bad_share: float = 0.1
@@ -46,29 +49,30 @@
     restart_timeout_ms: float = 15_000.0
 
     def faults(self) -> list[str]:
-        told = []
+        """What is wrong with the parameters, one sentence each."""
+        faults = []
         if (
             not self.rings
             or self.rings[-1] != 1.0
             or list(self.rings) != sorted(set(self.rings))
             or self.rings[0] <= 0
         ):
-            told.append("rings must rise from over 0 to 1")
+            faults.append("rings have to increase from above 0 to 1")
         if not 0.0 <= self.bad_share < 1.0:
-            told.append("the bad share lies from 0 to under 1")
+            faults.append("the bad share has to be at least 0 and below 1")
         if min(self.watch_ms, self.answer_timeout_ms, self.restart_timeout_ms) < 0:
-            told.append("times are 0 or more")
-        return told
+            faults.append("times have to be 0 or more")
+        return faults
 
 
 @dataclass(slots=True)
 class FrontRecord:
-    """One front that has ever said hello; forgotten a day after it left."""
+    """One front that has connected at some time; forgotten a day after it left."""
 
     name: str
-    connected: bool = True  # whether its stream does
-    since_ms: float = 0.0  # it has stood, or been away
-    holds: VersionId = NO_VERSION  # what it said last that is in force there
+    connected: bool = True
+    since_ms: float = 0.0  # start of the current connection or absence
+    holds: VersionId = NO_VERSION  # the version that it last reported to be in force
     state: FrontState = FrontState.WAITING
     offered_at_ms: float = 0.0
     code: str = ""
@@ -85,12 +89,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutHalted:
+    """The rollout of a version was halted."""
+
     version: VersionId
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class RolloutFinished:
+    """The rollout of a version is complete."""
+
     version: VersionId
 
 
@@ -98,199 +106,227 @@
 
 
 class Rollout:
-    FORGET_FRONT_MS = 86_400_000.0  # fronts that left stay in the list for a day, for on-call to see
+    """The rollout of one version at a time. Each event returns the actions that the caller has to carry
+    out."""
+
+    FORGET_FRONT_MS = 86_400_000.0  # disconnected fronts stay listed for a day, for on-call to see
 
     __slots__ = ("base", "fronts", "halt_reason", "phase", "plan", "ring", "ring_answered_at_ms", "version")
 
     def __init__(self, plan: RolloutPlan, base: VersionId = NO_VERSION):
-        """``base``: what every front should hold while nothing rolls out."""
+        """``base``: the version that every front should hold while no rollout is in progress."""
         self.plan, self.base = plan, base
-        self.fronts: dict[str, FrontRecord] = {}  # emptied by FORGET_MS
+        self.fronts: dict[str, FrontRecord] = {}  # entries expire after FORGET_FRONT_MS
         self.version, self.phase, self.ring, self.halt_reason = base, VersionRolloutPhase.IDLE, 0, ""
-        self.ring_answered_at_ms: float | None = None  # since when all of the ring have answered
+        self.ring_answered_at_ms: float | None = None  # since when all fronts of the ring have answered
 
     # --- events ---
 
-    def publish(self, name: VersionId, now: float) -> list[RolloutAction]:
-        """Begin with a version. One that is rolling out is left where it is: its fronts get this one by their
-        ring. Raises ValueError where the name does not go up."""
-        if name <= self.version:
-            raise ValueError(f"{name} is not over {self.version}")
+    def publish(self, version: VersionId, now: float) -> list[RolloutAction]:
+        """Starts the rollout of a version. A rollout in progress stops where it is: its fronts get the new
+        version with their ring. Raises ValueError if the version does not increase."""
+        if version <= self.version:
+            raise ValueError(f"{version} is not higher than {self.version}")
         if self.phase == VersionRolloutPhase.DONE:
             self.base = self.version
         self.version, self.phase, self.ring, self.halt_reason, self.ring_answered_at_ms = (
-            name,
+            version,
             VersionRolloutPhase.ROLLING,
             0,
             "",
             None,
         )
-        for f in self.fronts.values():
-            f.state, f.code, f.text = FrontState.WAITING, "", ""
+        for record in self.fronts.values():
+            record.state, record.code, record.text = FrontState.WAITING, "", ""
         return self.advance(now)
 
-    def resume(self, last: VersionId, halted: str, now: float) -> list[RolloutAction]:
-        """After a restart of the service: ``last`` is the last version that was published, ``halted`` why it
-        was halted, "" where it was not. Guards against a rollout that is forgotten (it begins again at ring
-        one, and fronts that hold the version count as having acknowledged it), and against a halt that a
-        restart would lift."""
-        if last <= self.base:
+    def resume(self, last_version: VersionId, halt_reason: str, now: float) -> list[RolloutAction]:
+        """Continues after a restart of the service. ``last_version`` is the last published version,
+        ``halt_reason`` why its rollout was halted ("" if it was not). Guards against a forgotten rollout
+        (it starts again at ring one, where fronts that hold the version count as acknowledged), and
+        against a restart that lifts a halt."""
+        if last_version <= self.base:
             return []
-        acts = self.publish(last, now)
-        if not halted:
-            return acts
-        self.phase, self.halt_reason = VersionRolloutPhase.HALTED, halted
+        actions = self.publish(last_version, now)
+        if not halt_reason:
+            return actions
+        self.phase, self.halt_reason = VersionRolloutPhase.HALTED, halt_reason
         return []
 
     def expect_fronts(self, fronts: Iterable[str], now: float) -> None:
-        """Fronts of an earlier life of the service: away as of now. Guards against a restarted service that
-        takes the first front that comes for all of them, and its ring for done."""
+        """Adds the fronts that the service knew before a restart, disconnected as of now. Guards against a
+        restarted service that takes the first front to connect for all of them, and its ring for done."""
         for name in fronts:
             self.fronts.setdefault(name, FrontRecord(name, connected=False, since_ms=now))
 
     def front_connected(self, front: str, holds: VersionId, now: float) -> list[RolloutAction]:
-        """A front has come, or come back. One that holds the version counts as having acknowledged; one whose
-        ring has come is offered it; the others are offered what all should hold."""
-        f = self.fronts.setdefault(front, FrontRecord(front))
-        f.connected, f.since_ms, f.holds = True, now, holds
-        if f.state == FrontState.LOST:
-            f.state = FrontState.WAITING
+        """A front has connected. If it holds the current version, it counts as acknowledged; if its ring
+        has started, it is offered the version; otherwise it is offered the base version."""
+        record = self.fronts.setdefault(front, FrontRecord(front))
+        record.connected, record.since_ms, record.holds = True, now, holds
+        if record.state == FrontState.LOST:
+            record.state = FrontState.WAITING
         if (
             holds == self.version
             and self.phase != VersionRolloutPhase.IDLE
-            and f.state not in (FrontState.REFUSED, FrontState.BACK)
+            and record.state not in (FrontState.REFUSED, FrontState.BACK)
         ):
-            f.state = FrontState.ACKED
-        elif f.state in (FrontState.OFFERED, FrontState.ACKED):
-            f.state = FrontState.WAITING  # it restarted from before
-        acts = self.advance(now)
-        if not any(isinstance(a, SendOffer) and a.front == front for a in acts) and self.is_behind(f):
-            acts.append(SendOffer(front, self.base))
-        return acts
-
-    def is_behind(self, f: FrontRecord) -> bool:
-        """Whether a front whose ring has not come holds less than all should."""
-        return f.state in (FrontState.WAITING, FrontState.REFUSED, FrontState.BACK) and f.holds < self.base
+            record.state = FrontState.ACKED
+        elif record.state in (FrontState.OFFERED, FrontState.ACKED):
+            record.state = FrontState.WAITING  # it restarted with an older version
+        actions = self.advance(now)
+        if not any(
+            isinstance(action, SendOffer) and action.front == front for action in actions
+        ) and self.is_behind(record):
+            actions.append(SendOffer(front, self.base))
+        return actions
+
+    def is_behind(self, record: FrontRecord) -> bool:
+        """Whether a front that is not on the new version holds less than the base version."""
+        return (
+            record.state in (FrontState.WAITING, FrontState.REFUSED, FrontState.BACK)
+            and record.holds < self.base
+        )
 
     def front_disconnected(self, front: str, now: float) -> list[RolloutAction]:
-        f = self.fronts.get(front)
-        if f is not None:
-            f.connected, f.since_ms = False, now
+        """The stream of a front has ended."""
+        record = self.fronts.get(front)
+        if record is not None:
+            record.connected, record.since_ms = False, now
         return self.advance(now)
 
     def answer_received(
-        self, front: str, name: VersionId, acked: bool, code: str, text: str, now: float
+        self, front: str, version: VersionId, acked: bool, code: str, text: str, now: float
     ) -> list[RolloutAction]:
-        f = self.fronts.get(front)
-        if f is None:
+        """A front has acknowledged or refused a version."""
+        record = self.fronts.get(front)
+        if record is None:
             return []
         if acked:
-            f.holds = max(f.holds, name)
-        if name != self.version or f.state != FrontState.OFFERED:
+            record.holds = max(record.holds, version)
+        if version != self.version or record.state != FrontState.OFFERED:
             return []
-        f.state, f.code, f.text = (FrontState.ACKED, "", "") if acked else (FrontState.REFUSED, code, text)
+        record.state, record.code, record.text = (
+            (FrontState.ACKED, "", "") if acked else (FrontState.REFUSED, code, text)
+        )
         return self.advance(now)
 
     def front_rolled_back(
-        self, front: str, name: VersionId, back_to: VersionId, why: str, now: float
+        self, front: str, version: VersionId, back_to: VersionId, reason: str, now: float
     ) -> list[RolloutAction]:
-        f = self.fronts.get(front)
-        if f is None:
+        """A front has rolled back a version by itself."""
+        record = self.fronts.get(front)
+        if record is None:
             return []
-        f.holds = back_to
-        if name == self.version:
-            f.state, f.code, f.text = FrontState.BACK, "rolled-back", why
+        record.holds = back_to
+        if version == self.version:
+            record.state, record.code, record.text = FrontState.BACK, "rolled-back", reason
         return self.advance(now)
 
     def tick(self, now: float) -> list[RolloutAction]:
-        for name, f in list(self.fronts.items()):
-            if not f.connected and now - f.since_ms > self.FORGET_FRONT_MS:
+        """Time has passed: forgets fronts that left long ago and does whatever is due."""
+        for name, record in list(self.fronts.items()):
+            if not record.connected and now - record.since_ms > self.FORGET_FRONT_MS:
                 del self.fronts[name]
         return self.advance(now)
 
     # --- decisions ---
 
     def advance(self, now: float) -> list[RolloutAction]:
-        """Whatever is due: losses, a halt, offers to the ring, the next ring, the end."""
+        """Does whatever is due: marks lost fronts, halts, offers to the ring, starts the next ring,
+        finishes."""
         if self.phase == VersionRolloutPhase.DONE:
             return self.offer_to_late_fronts(now)
         if self.phase != VersionRolloutPhase.ROLLING:
             return []
-        acts: list[RolloutAction] = []
+        actions: list[RolloutAction] = []
         while True:
             self.mark_lost_fronts(now)
             ring = self.ring_members(self.ring)
-            bad = [
-                f
-                for f in self.offered_fronts()
-                if f.state in (FrontState.REFUSED, FrontState.BACK, FrontState.LOST)
+            failed = [
+                record
+                for record in self.offered_fronts()
+                if record.state in (FrontState.REFUSED, FrontState.BACK, FrontState.LOST)
             ]
-            if len(bad) > self.plan.bad_share * len(ring):
-                # Guards against taking a bad version further: also one more in a ring that was done before.
-                self.phase, self.halt_reason = VersionRolloutPhase.HALTED, self.describe_failures(bad)
-                return [*acts, RolloutHalted(self.version, self.halt_reason)]
-            for f in ring:
-                if f.state == FrontState.WAITING and f.connected:
-                    f.state, f.offered_at_ms = FrontState.OFFERED, now
-                    acts.append(SendOffer(f.name, self.version))
-            if not ring or any(f.state == FrontState.OFFERED or self.may_be_restarting(f, now) for f in ring):
+            if len(failed) > self.plan.bad_share * len(ring):
+                # Guards against distributing a bad version further, also when a ring that was done fails
+                # later.
+                self.phase, self.halt_reason = VersionRolloutPhase.HALTED, self.describe_failures(failed)
+                return [*actions, RolloutHalted(self.version, self.halt_reason)]
+            for record in ring:
+                if record.state == FrontState.WAITING and record.connected:
+                    record.state, record.offered_at_ms = FrontState.OFFERED, now
+                    actions.append(SendOffer(record.name, self.version))
+            if not ring or any(
+                record.state == FrontState.OFFERED or self.may_be_restarting(record, now) for record in ring
+            ):
                 self.ring_answered_at_ms = None
-                return acts
+                return actions
             self.ring_answered_at_ms = now if self.ring_answered_at_ms is None else self.ring_answered_at_ms
             if now - self.ring_answered_at_ms < self.plan.watch_ms:
-                return acts
+                return actions
             if self.ring + 1 == len(self.plan.rings):
                 self.phase = VersionRolloutPhase.DONE
-                return [*acts, RolloutFinished(self.version)]
+                return [*actions, RolloutFinished(self.version)]
             self.ring, self.ring_answered_at_ms = self.ring + 1, None
 
     def offer_to_late_fronts(self, now: float) -> list[RolloutAction]:
-        """Fronts that come after the end get what all have."""
-        acts: list[RolloutAction] = []
-        for f in self.fronts.values():
-            if f.state == FrontState.WAITING and f.connected and f.holds < self.version:
-                f.state, f.offered_at_ms = FrontState.OFFERED, now
-                acts.append(SendOffer(f.name, self.version))
-        return acts
+        """Offers the version to fronts that connect after the end of the rollout."""
+        actions: list[RolloutAction] = []
+        for record in self.fronts.values():
+            if record.state == FrontState.WAITING and record.connected and record.holds < self.version:
+                record.state, record.offered_at_ms = FrontState.OFFERED, now
+                actions.append(SendOffer(record.name, self.version))
+        return actions
 
     def mark_lost_fronts(self, now: float) -> None:
-        for f in self.fronts.values():
+        """Marks fronts as lost that don't answer or stay disconnected for too long."""
+        for record in self.fronts.values():
             silent = (
-                f.connected
-                and f.state == FrontState.OFFERED
-                and now - f.offered_at_ms > self.plan.answer_timeout_ms
+                record.connected
+                and record.state == FrontState.OFFERED
+                and now - record.offered_at_ms > self.plan.answer_timeout_ms
             )
-            away = not f.connected and now - f.since_ms > self.plan.restart_timeout_ms
-            if silent or (away and f.state in (FrontState.OFFERED, FrontState.ACKED)):
-                f.state = FrontState.LOST
-                f.code, f.text = "lost", "no answer" if silent else "gone since it had this version"
-
-    def may_be_restarting(self, f: FrontRecord, now: float) -> bool:
-        """A front of the ring that is away may be restarting. Guards against going on from a ring whose
-        fronts acknowledge a version and then die of it."""
-        away = not f.connected and now - f.since_ms <= self.plan.restart_timeout_ms
-        return away and f.state in (FrontState.WAITING, FrontState.ACKED)
+            away = not record.connected and now - record.since_ms > self.plan.restart_timeout_ms
+            if silent or (away and record.state in (FrontState.OFFERED, FrontState.ACKED)):
+                record.state = FrontState.LOST
+                record.code, record.text = (
+                    "lost",
+                    "no answer" if silent else "disconnected since it got this version",
+                )
+
+    def may_be_restarting(self, record: FrontRecord, now: float) -> bool:
+        """Whether a disconnected front of the ring may be restarting. Guards against going on from a ring
+        whose fronts acknowledge a version and then crash because of it."""
+        away = not record.connected and now - record.since_ms <= self.plan.restart_timeout_ms
+        return away and record.state in (FrontState.WAITING, FrontState.ACKED)
 
     def ring_members(self, ring: int) -> list[FrontRecord]:
-        """The fronts up to this ring, one at least. By name, so that a restarted service deals them alike."""
+        """The fronts up to this ring, at least one. Ordered by name, so that a restarted service assigns
+        them to the same rings."""
         names = sorted(
-            n
-            for n, f in self.fronts.items()
-            if f.connected or f.state != FrontState.WAITING or f.since_ms > 0
+            name
+            for name, record in self.fronts.items()
+            if record.connected or record.state != FrontState.WAITING or record.since_ms > 0
         )
         count = max(1, round(self.plan.rings[ring] * len(names))) if names else 0
-        return [self.fronts[n] for n in names[:count]]
+        return [self.fronts[name] for name in names[:count]]
 
     def offered_fronts(self) -> Iterable[FrontRecord]:
-        return (f for f in self.fronts.values() if f.state != FrontState.WAITING)
-
-    def describe_failures(self, bad: list[FrontRecord]) -> str:
-        shown = ", ".join(f"{f.name} {f.state.name.lower()} ({f.code}: {f.text})" for f in bad[:3])
-        more = f" and {len(bad) - 3} more" if len(bad) > 3 else ""
-        return f"{len(bad)} of {len(self.ring_members(self.ring))} in ring {self.ring + 1}: {shown}{more}"
+        """The fronts that were offered the current version."""
+        return (record for record in self.fronts.values() if record.state != FrontState.WAITING)
+
+    def describe_failures(self, failed: list[FrontRecord]) -> str:
+        """Why the rollout halts: the first failed fronts and their number."""
+        shown = ", ".join(
+            f"{record.name} {record.state.name.lower()} ({record.code}: {record.text})"
+            for record in failed[:3]
+        )
+        more = f" and {len(failed) - 3} more" if len(failed) > 3 else ""
+        return f"{len(failed)} of {len(self.ring_members(self.ring))} in ring {self.ring + 1}: {shown}{more}"
 
     def next_deadline(self, now: float) -> float:
-        """When ``tick`` has something to do, at the latest."""
+        """The latest time at which ``tick`` has to be called."""
         if self.phase != VersionRolloutPhase.ROLLING:
             return now + 60_000.0
         times = [now + 1000.0]
