--- a/myrtleroad/control/commands.py
+++ b/myrtleroad/control/commands.py
@@ -1,5 +1,5 @@
-"""``myrtleroad control``: serve versions, publish, roll back, confirm, say who stands where. Exit codes:
-0 done, 1 refused or not to be had, 2 the command itself was wrong."""
+"""``myrtleroad control``: serves versions; publishes, rolls back and confirms them; shows the state of
+each front. Exit codes: 0 done, 1 refused or service not reachable, 2 wrong usage."""
 
 from pathlib import Path
 
@@ -17,10 +17,22 @@
 
 @control.command()
 @click.argument("folder", type=FOLDER)
-@click.option("--listen", default="127.0.0.1:7000", show_default=True, help="Where fronts connect.")
-@click.option("--rings", default="0.1,0.5,1", show_default=True, help="Share of fronts by each ring's end.")
-@click.option("--bad-share", default=0.1, show_default=True, help="Of a ring that may fail; one more halts.")
-@click.option("--watch", default=5.0, show_default=True, help="Seconds that a ring is watched for.")
+@click.option(
+    "--listen", default="127.0.0.1:7000", show_default=True, help="Address on which fronts connect."
+)
+@click.option(
+    "--rings",
+    default="0.1,0.5,1",
+    show_default=True,
+    help="Share of all fronts that is reached by the end of each ring.",
+)
+@click.option(
+    "--bad-share",
+    default=0.1,
+    show_default=True,
+    help="Share of a ring that may fail; one more front halts the rollout.",
+)
+@click.option("--watch", default=5.0, show_default=True, help="Seconds to watch each ring before the next.")
 def serve(folder: Path, listen: str, rings: str, bad_share: float, watch: float) -> None:
     """Serve the versions of FOLDER until SIGTERM."""
     import gevent
@@ -33,8 +45,8 @@
     from myrtleroad.net.node_config import parse_address
 
     try:
-        plan = RolloutPlan(tuple(float(r) for r in rings.split(",")), bad_share, watch * 1000)
-        at = parse_address(listen)
+        plan = RolloutPlan(tuple(float(share) for share in rings.split(",")), bad_share, watch * 1000)
+        listen_address = parse_address(listen)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     if faults := plan.faults():
@@ -42,21 +54,22 @@
     clock = Clock()
     log = Log(clock)
     try:
-        made = service.ControlService(Folder(folder), plan, clock, log, at)
+        control_service = service.ControlService(Folder(folder), plan, clock, log, listen_address)
     except (StateError, OSError) as error:
         raise click.ClickException(str(error)) from None
     gevent.spawn(log.run)
-    service.run_until_signal(made)
+    service.run_until_signal(control_service)
     log.flush()
 
 
-def call_or_fail(folder: Path, **words: object) -> dict:
+def call_or_fail(folder: Path, **fields: object) -> dict:
+    """Calls the service of a folder. Raises ClickException if it is not reachable or refuses."""
     from myrtleroad.control.service import call_service
 
     try:
-        reply = call_service(folder, **words)
+        reply = call_service(folder, **fields)
     except OSError as error:
-        raise click.ClickException(f"no control service answers over {folder}: {error}") from None
+        raise click.ClickException(f"no control service is reachable in {folder}: {error}") from None
     if not reply["ok"]:
         raise click.ClickException(reply["why"])
     return reply
@@ -66,7 +79,7 @@
 @click.argument("folder", type=FOLDER)
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def publish(folder: Path, file: Path) -> None:
-    """Hand FILE out, ring by ring."""
+    """Publish the version in FILE, ring by ring."""
     reply = call_or_fail(folder, call="publish", text=file.read_text("utf-8", "replace"))
     click.echo(f"version {reply['number']} rolls out")
 
@@ -75,7 +88,7 @@
 @click.argument("folder", type=FOLDER)
 @click.argument("number", type=int)
 def rollback(folder: Path, number: int) -> None:
-    """Hand the content of version NUMBER out again, under a new number."""
+    """Publish the content of version NUMBER again, under a new number."""
     reply = call_or_fail(folder, call="rollback", to=number)
     click.echo(f"version {reply['number']} brings {number} back")
 
@@ -83,7 +96,7 @@
 @control.command()
 @click.argument("folder", type=FOLDER)
 def confirm(folder: Path) -> None:
-    """Stand by the version that is being rolled out, at every front that holds it."""
+    """Confirm the version that is being rolled out, at every front that holds it."""
     reply = call_or_fail(folder, call="confirm")
     click.echo(f"version {reply['number']} confirmed to {reply['fronts']} fronts")
 
@@ -92,7 +105,7 @@
 @click.argument("folder", type=FOLDER)
 @JSON
 def status(folder: Path, as_json: bool) -> None:
-    """Which front stands where."""
+    """Show the rollout and the state of each front."""
     reply = call_or_fail(folder, call="status")
     if as_json:
         click.echo(orjson.dumps(reply, option=orjson.OPT_INDENT_2).decode())
@@ -101,7 +114,7 @@
     click.echo(f"version {reply['number']} of epoch {reply['epoch']}: {reply['phase']}{ring}")
     if reply["why"]:
         click.echo(f"  {reply['why']}")
-    for f in reply["fronts"]:
-        here = "here" if f["here"] else "away"
-        why = f" ({f['code']}: {f['text']})" if f["code"] else ""
-        click.echo(f"  {f['name']}: {here}, holds {f['holds'][1]}, {f['stand']}{why}")
+    for front in reply["fronts"]:
+        presence = "here" if front["here"] else "away"
+        why = f" ({front['code']}: {front['text']})" if front["code"] else ""
+        click.echo(f"  {front['name']}: {presence}, holds {front['holds'][1]}, {front['stand']}{why}")
--- a/myrtleroad/control/service.py
+++ b/myrtleroad/control/service.py
@@ -1,7 +1,8 @@
-"""The control service on sockets: one actor that owns the rollout, one greenlet a front, one for operators.
+"""The control service on sockets: one actor that owns the rollout, one greenlet for each front, one for
+operators.
 
-Fronts speak the stream of docs/formats/config-stream.md. Operators speak lines of JSON on a Unix socket
-in the folder: one call, one answer."""
+Fronts use the stream described in docs/formats/config-stream.md. Operators send lines of JSON to a Unix
+socket in the folder: one call, one answer."""
 
 import os
 import signal
@@ -35,41 +36,46 @@
 )
 from myrtleroad.net.listening_socket import try_set_option
 
-HEARTBEAT_S, SILENCE_TIMEOUT_S = 2.0, 5.0  # as the fronts': docs/formats/config-stream.md
-MAX_QUEUED_FRAMES = 64  # frames that wait for a front; one that reads none of them is cut off
+HEARTBEAT_S, SILENCE_TIMEOUT_S = 2.0, 5.0  # as in the fronts: docs/formats/config-stream.md
+MAX_QUEUED_FRAMES = 64  # queued frames for a front; a front that reads none of them is disconnected
 CALL_SOCKET = "control.sock"
-MAX_FRONTS = 5000  # connections; more are turned away
+MAX_FRONTS = 5000  # connections; further ones are closed
 
 
 @dataclass(slots=True, eq=False)
 class FrontStream:
-    """One front's stream. Its writer sends what waits; its reader posts what comes."""
+    """The stream of one front. Its writer sends queued frames; its reader posts received frames to the
+    actor."""
 
     sock: socket.socket
-    name: str = ""  # once it has said hello
+    name: str = ""  # set by its hello frame
     queue: SimpleQueue = field(default_factory=SimpleQueue)
     nonce: int = 0
     holds: VersionId = NO_VERSION
 
     def put(self, frame: bytes) -> None:
+        """Queues a frame, or ends the stream if too many are queued."""
         if self.queue.qsize() >= MAX_QUEUED_FRAMES:
             self.close()
         else:
             self.queue.put(frame)
 
     def close(self) -> None:
+        """Ends the stream after the queued frames."""
         self.queue.put(None)
 
 
 @dataclass(slots=True, frozen=True)
 class FrameReceived:
+    """A frame of a front, or the end of its stream."""
+
     stream: FrontStream
-    frame: Frame | None  # None: its end
+    frame: Frame | None  # None: end of the stream
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorCall:
-    """An operator's; answered by ``reply``."""
+    """A call of an operator; ``reply`` takes the answer."""
 
     fields: dict[str, Any]
     reply: Callable[[dict[str, Any]], None]
@@ -80,6 +86,8 @@
 
 
 class ControlService:
+    """The control service of one folder."""
+
     def __init__(
         self,
         folder: Folder,
@@ -90,19 +98,18 @@
     ):
         self.folder, self.clock, self.log = folder, clock, log
         self.state = folder.load()
-        self.state.epoch = max(FIRST_EPOCH, self.state.epoch)  # it goes up by hand alone
+        self.state.epoch = max(FIRST_EPOCH, self.state.epoch)  # it is only raised by hand, in state.json
         self.rollout = Rollout(plan, VersionId(*self.state.base))
         self.rollout.expect_fronts(self.state.fronts, clock())
-        self.streams: dict[str, FrontStream] = {}  # by the front's name; emptied as each ends
-        self.entries = {NO_VERSION: NO_ENTRIES}  # of the versions kept
-        self.positions: dict[VersionId, dict] = {}  # of their entries
-        self.deltas: dict[
-            tuple[VersionId, VersionId], dict | None
-        ] = {}  # differences; emptied by each publication
+        self.streams: dict[str, FrontStream] = {}  # by front name; removed as each stream ends
+        self.entries = {NO_VERSION: NO_ENTRIES}  # of the kept versions
+        self.positions: dict[VersionId, dict] = {}  # positions of their entries
+        # Differences between versions; cleared by each publication.
+        self.deltas: dict[tuple[VersionId, VersionId], dict | None] = {}
         self.versions: dict[VersionId, Published] = {}
-        for p in self.state.published:
-            self.add_version(p)
-        self.unsaved = False  # the folder's state is behind ours, as it could not be written
+        for published in self.state.published:
+            self.add_version(published)
+        self.unsaved = False  # the state in memory could not be saved yet
         self.carry_out(
             self.rollout.resume(max(self.versions, default=NO_VERSION), self.state.halted, clock())
         )
@@ -115,21 +122,22 @@
         self.open_streams = 0
         self.stop = Event()
 
-    def add_version(self, p: Published) -> None:
-        name = VersionId(p.epoch, p.number)
-        self.versions[name] = p
-        found = version.read(p.text.encode())
-        self.entries[name], self.positions[name] = found.entries, found.positions
+    def add_version(self, published: Published) -> None:
+        """Reads a published version and keeps its entries and their positions."""
+        version_id = VersionId(published.epoch, published.number)
+        self.versions[version_id] = published
+        parsed = version.read(published.text.encode())
+        self.entries[version_id], self.positions[version_id] = parsed.entries, parsed.positions
 
     # --- the actor ---
 
     def run(self) -> None:
-        """Until ``stop`` is set."""
-        call = self.folder.path / CALL_SOCKET
-        call.unlink(missing_ok=True)
+        """Serves until ``stop`` is set."""
+        socket_path = self.folder.path / CALL_SOCKET
+        socket_path.unlink(missing_ok=True)
         calls = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        calls.bind(str(call))
-        os.chmod(call, 0o600)
+        calls.bind(str(socket_path))
+        os.chmod(socket_path, 0o600)
         calls.listen(8)
         workers = [
             gevent.spawn(self.accept),
@@ -141,18 +149,19 @@
         )
         try:
             self.stop.wait()
-            for link in list(self.streams.values()):
-                link.put(encode_frame("bye", why="the control service stops"))
+            for stream in list(self.streams.values()):
+                stream.put(encode_frame("bye", why="the control service is stopping"))
             gevent.sleep(0.05)
         finally:
             gevent.killall(workers, block=False)
-            for link in list(self.streams.values()):
-                link.sock.close()
+            for stream in list(self.streams.values()):
+                stream.sock.close()
             self.sock.close()
             calls.close()
-            call.unlink(missing_ok=True)
+            socket_path.unlink(missing_ok=True)
 
     def process_messages(self) -> None:
+        """The loop of the actor: handles messages and timeouts one after the other."""
         while True:
             wait = max(0.001, min(self.rollout.next_deadline(self.clock()) - self.clock(), 1000.0) / 1000)
             message = None
@@ -167,160 +176,194 @@
                     self.operator_called(message, now)
                 else:
                     self.frame_received(message.stream, message.frame, now)
-            except Exception as error:  # one front's or operator's fault must not end the service
+            except Exception as error:  # an error of one front or operator must not end the service
                 self.log("fault", error=f"{type(error).__name__}: {error}")
                 if isinstance(message, FrameReceived):
                     message.stream.close()
 
-    def frame_received(self, link: FrontStream, frame: Frame | None, now: float) -> None:
+    def frame_received(self, stream: FrontStream, frame: Frame | None, now: float) -> None:
+        """Handles a frame of a front, or the end of its stream."""
         if frame is None:
-            if self.streams.get(link.name) is link:
-                del self.streams[link.name]
-                self.carry_out(self.rollout.front_disconnected(link.name, now))
+            if self.streams.get(stream.name) is stream:
+                del self.streams[stream.name]
+                self.carry_out(self.rollout.front_disconnected(stream.name, now))
             return
-        f = frame.fields
+        fields = frame.fields
         match frame.kind:
             case "hello":
-                holds = f["holds"]
-                link.name, link.holds = str(f["name"]), VersionId(int(holds["epoch"]), int(holds["number"]))
-                if (old := self.streams.get(link.name)) is not None and old is not link:
-                    old.close()  # the front has come again and its old stream has not ended yet
-                self.streams[link.name] = link
-                if link.name not in self.rollout.fronts:
-                    self.state.fronts = [*self.rollout.fronts, link.name]
+                holds = fields["holds"]
+                stream.name, stream.holds = (
+                    str(fields["name"]),
+                    VersionId(int(holds["epoch"]), int(holds["number"])),
+                )
+                if (old := self.streams.get(stream.name)) is not None and old is not stream:
+                    old.close()  # the front has reconnected before its old stream ended
+                self.streams[stream.name] = stream
+                if stream.name not in self.rollout.fronts:
+                    self.state.fronts = [*self.rollout.fronts, stream.name]
                     self.save_state()
-                self.carry_out(self.rollout.front_connected(link.name, link.holds, now))
-            case "answer" if link.name:
-                name, acked = VersionId(int(f["epoch"]), int(f["number"])), bool(f["acked"])
+                self.carry_out(self.rollout.front_connected(stream.name, stream.holds, now))
+            case "answer" if stream.name:
+                version_id, acked = (
+                    VersionId(int(fields["epoch"]), int(fields["number"])),
+                    bool(fields["acked"]),
+                )
                 if acked:
-                    link.holds = name
-                elif f.get("code") == "base":
-                    self.offer(link, name, whole=True)  # it holds something else: the text once more, whole
+                    stream.holds = version_id
+                elif fields.get("code") == "base":
+                    # Its base differs: sends the whole text.
+                    self.offer(stream, version_id, whole=True)
                     return
-                said = (
-                    str(f.get("code", "")),
-                    self.with_position(name, str(f.get("text", "")), f.get("path") or []),
+                refusal = (
+                    str(fields.get("code", "")),
+                    self.with_position(version_id, str(fields.get("text", "")), fields.get("path") or []),
                 )
-                self.carry_out(self.rollout.answer_received(link.name, name, acked, *said, now))
-            case "back" if link.name:
-                to = f["to"]
-                link.holds = VersionId(int(to["epoch"]), int(to["number"]))
-                name = VersionId(int(f["epoch"]), int(f["number"]))
+                self.carry_out(self.rollout.answer_received(stream.name, version_id, acked, *refusal, now))
+            case "back" if stream.name:
+                back_to = fields["to"]
+                stream.holds = VersionId(int(back_to["epoch"]), int(back_to["number"]))
+                version_id = VersionId(int(fields["epoch"]), int(fields["number"]))
                 self.carry_out(
-                    self.rollout.front_rolled_back(link.name, name, link.holds, str(f.get("why", "")), now)
+                    self.rollout.front_rolled_back(
+                        stream.name, version_id, stream.holds, str(fields.get("why", "")), now
+                    )
                 )
 
-    def with_position(self, name: VersionId, text: str, path: list[str]) -> str:
-        """A refusal with its place in the text: a front that was sent a difference has none."""
-        at = self.positions.get(name, {}).get(tuple(path))
-        return f"line {at[0]}, column {at[1]}: {text}" if at and not text.startswith("line ") else text
-
-    def carry_out(self, acts: list[RolloutAction]) -> None:
-        for act in acts:
-            match act:
-                case SendOffer(front, name):
-                    if (link := self.streams.get(front)) is not None and name != NO_VERSION:
-                        self.offer(link, name)
-                case RolloutHalted(name, why):
-                    self.state.halted = why
+    def with_position(self, version_id: VersionId, text: str, path: list[str]) -> str:
+        """Adds the position in the text to a refusal: a front that was sent a difference knows no
+        position."""
+        position = self.positions.get(version_id, {}).get(tuple(path))
+        return (
+            f"line {position[0]}, column {position[1]}: {text}"
+            if position and not text.startswith("line ")
+            else text
+        )
+
+    def carry_out(self, actions: list[RolloutAction]) -> None:
+        """Carries out the actions of the rollout."""
+        for action in actions:
+            match action:
+                case SendOffer(front, version_id):
+                    if (stream := self.streams.get(front)) is not None and version_id != NO_VERSION:
+                        self.offer(stream, version_id)
+                case RolloutHalted(version_id, reason):
+                    self.state.halted = reason
                     self.save_state()
-                    self.log("rollout halted", epoch=name.epoch, number=name.number, why=why)
-                case RolloutFinished(name):
-                    self.state.base = (name.epoch, name.number)
+                    self.log("rollout halted", epoch=version_id.epoch, number=version_id.number, why=reason)
+                case RolloutFinished(version_id):
+                    self.state.base = (version_id.epoch, version_id.number)
                     self.save_state()
-                    self.log("rollout done", epoch=name.epoch, number=name.number)
-
-    def offer(self, link: FrontStream, name: VersionId, whole: bool = False) -> None:
-        """As a difference to what the front holds, where that is known and smaller."""
-        p = self.versions.get(name)
-        if p is None:
-            return  # too old to be kept: the front stays with what it has
-        link.nonce += 1
-        fields = {"nonce": link.nonce, "epoch": name.epoch, "number": name.number, "digest": p.digest}
-        if p.confirm_ms is not None:
-            fields["confirm_ms"] = p.confirm_ms
-        part = None if whole else self.delta_fields(link.holds, name, len(p.text))
-        if part is not None:
-            link.put(encode_frame("offer", **fields, **part))
+                    self.log("rollout done", epoch=version_id.epoch, number=version_id.number)
+
+    def offer(self, stream: FrontStream, version_id: VersionId, whole: bool = False) -> None:
+        """Offers a version, as a difference to the one that the front holds if that is known and smaller."""
+        published = self.versions.get(version_id)
+        if published is None:
+            return  # no longer kept: the front stays with its version
+        stream.nonce += 1
+        fields = {
+            "nonce": stream.nonce,
+            "epoch": version_id.epoch,
+            "number": version_id.number,
+            "digest": published.digest,
+        }
+        if published.confirm_ms is not None:
+            fields["confirm_ms"] = published.confirm_ms
+        delta_part = None if whole else self.delta_fields(stream.holds, version_id, len(published.text))
+        if delta_part is not None:
+            stream.put(encode_frame("offer", **fields, **delta_part))
             return
-        link.put(encode_frame("offer", **fields, text=p.text))
+        stream.put(encode_frame("offer", **fields, text=published.text))
 
-    def delta_fields(self, base: VersionId, name: VersionId, size: int) -> dict[str, Any] | None:
-        """The difference from one version to another, found once for all fronts that hold the same; None
-        where it is not known or as long as the text."""
+    def delta_fields(self, base: VersionId, version_id: VersionId, size: int) -> dict[str, Any] | None:
+        """The difference between two versions, computed once for all fronts that hold the same version;
+        None if the base is unknown or the difference is as long as the text."""
         if base == NO_VERSION or base not in self.entries:
             return None
-        if (base, name) not in self.deltas:
-            delta = diff(self.entries[base], self.entries[name])
+        if (base, version_id) not in self.deltas:
+            delta = diff(self.entries[base], self.entries[version_id])
             changed = [[list(path), value] for path, value in delta.changed.items()]
-            part = {"set": changed, "dropped": [list(path) for path in delta.removed]}
-            part["base"] = {"epoch": base.epoch, "number": base.number}
-            self.deltas[base, name] = part if worth_as_difference(delta, size) else None
-        return self.deltas[base, name]
+            delta_part = {"set": changed, "dropped": [list(path) for path in delta.removed]}
+            delta_part["base"] = {"epoch": base.epoch, "number": base.number}
+            self.deltas[base, version_id] = delta_part if worth_as_difference(delta, size) else None
+        return self.deltas[base, version_id]
 
     # --- operators ---
 
     def operator_called(self, call: OperatorCall, now: float) -> None:
+        """Handles an operator's call and answers it."""
         try:
             reply = {"ok": True, **self.execute_call(call.fields, now)}
         except CallRefused as refused:
             reply = {"ok": False, "why": str(refused)}
         except (KeyError, TypeError, ValueError) as error:
-            reply = {"ok": False, "why": f"unclear call: {type(error).__name__}: {error}"}
+            reply = {"ok": False, "why": f"invalid call: {type(error).__name__}: {error}"}
         call.reply(reply)
 
-    def execute_call(self, words: dict[str, Any], now: float) -> dict[str, Any]:
-        match words["call"]:
+    def execute_call(self, fields: dict[str, Any], now: float) -> dict[str, Any]:
+        """Carries out a call and returns the fields of its answer. Raises CallRefused."""
+        match fields["call"]:
             case "publish":
-                return self.publish(str(words["text"]), now)
+                return self.publish(str(fields["text"]), now)
             case "rollback":
-                return self.rollback(int(words["to"]), now)
+                return self.rollback(int(fields["to"]), now)
             case "confirm":
-                name = self.rollout.version
-                for link in self.streams.values():
-                    link.put(encode_frame("confirm", epoch=name.epoch, number=name.number))
-                return {"number": name.number, "fronts": len(self.streams)}
+                version_id = self.rollout.version
+                for stream in self.streams.values():
+                    stream.put(encode_frame("confirm", epoch=version_id.epoch, number=version_id.number))
+                return {"number": version_id.number, "fronts": len(self.streams)}
             case "status":
                 return self.status()
-        raise CallRefused(f"no call {words['call']!r}")
+        raise CallRefused(f"unknown call {fields['call']!r}")
 
-    def publish(self, text: str, now: float, of: int | None = None) -> dict[str, Any]:
+    def publish(self, text: str, now: float, restored_number: int | None = None) -> dict[str, Any]:
+        """Checks, saves and rolls out a version. Raises CallRefused."""
         if len(text.encode()) > MAX_DOCUMENT_BYTES:
-            raise CallRefused(f"over {MAX_DOCUMENT_BYTES} bytes")
-        found = version.read(text.encode())
-        if found.faults:
-            raise CallRefused("\n".join(f.describe("it") for f in found.faults[:20]))
+            raise CallRefused(f"the version has more than {MAX_DOCUMENT_BYTES} bytes")
+        parsed = version.read(text.encode())
+        if parsed.faults:
+            raise CallRefused("\n".join(fault.describe("version") for fault in parsed.faults[:20]))
         try:
-            number = numbered(found.number if of is None else None, self.state.number)
-        except NumberTaken as taken:
-            raise CallRefused(str(taken)) from None
-        p = Published(
-            self.state.epoch, number, content_digest(found.entries), text, found.confirm_ms, found.note, of
+            number = numbered(parsed.number if restored_number is None else None, self.state.number)
+        except NumberTaken as error:
+            raise CallRefused(str(error)) from None
+        published = Published(
+            self.state.epoch,
+            number,
+            content_digest(parsed.entries),
+            text,
+            parsed.confirm_ms,
+            parsed.note,
+            restored_number,
         )
-        self.save_published(p)
-        self.add_version(p)
+        self.save_published(published)
+        self.add_version(published)
         self.deltas.clear()
         for old in sorted(self.versions)[: -Folder.MAX_KEPT]:
             del self.versions[old], self.entries[old], self.positions[old]
-        self.log("published", epoch=p.epoch, number=number, entries=len(found.entries), of=of)
-        self.carry_out(self.rollout.publish(VersionId(p.epoch, number), now))
+        self.log(
+            "published", epoch=published.epoch, number=number, entries=len(parsed.entries), of=restored_number
+        )
+        self.carry_out(self.rollout.publish(VersionId(published.epoch, number), now))
         return {"number": number}
 
-    def save_published(self, p: Published) -> None:
-        """Before any front hears of it, as numbers never go back. Where it cannot be kept it is not taken on,
-        and its number is not used again."""
+    def save_published(self, published: Published) -> None:
+        """Saves a version before any front is offered it, so that numbers never decrease. If it cannot be
+        saved it is refused, and its number remains free."""
         before, halted = list(self.state.published), self.state.halted
-        self.state.number, self.state.halted = p.number, ""
-        self.state.published.append(p)
+        self.state.number, self.state.halted = published.number, ""
+        self.state.published.append(published)
         try:
             self.folder.save(self.state)
         except OSError as error:
             self.state.published, self.state.halted = before, halted
             self.unsaved = True
-            raise CallRefused(f"version {p.number} cannot be kept, publish it again later: {error}") from None
+            raise CallRefused(
+                f"version {published.number} cannot be saved; publish it again later: {error}"
+            ) from None
 
     def save_state(self) -> None:
-        """What has been learnt goes to the folder, at once or as soon as it can be written."""
+        """Saves the state now, or later if it cannot be written now (``retry_save``)."""
         try:
             self.folder.save(self.state)
             self.unsaved = False
@@ -330,50 +373,58 @@
             self.unsaved = True
 
     def retry_save(self) -> None:
-        """Writes and syncs that failed are tried again."""
+        """Retries a failed save or sync."""
         if self.unsaved:
             self.save_state()
         elif not self.folder.synced:
             self.folder.synced = self.folder.sync()
 
-    def rollback(self, to: int, now: float) -> dict[str, Any]:
-        """The older content under a new number. It goes the way of any version, ring by ring."""
-        old = self.versions.get(VersionId(self.state.epoch, to))
+    def rollback(self, number: int, now: float) -> dict[str, Any]:
+        """Publishes older content under a new number, ring by ring like any version."""
+        old = self.versions.get(VersionId(self.state.epoch, number))
         if old is None:
-            kept = [n.number for n in sorted(self.versions) if n.epoch == self.state.epoch]
+            kept = [
+                version_id.number
+                for version_id in sorted(self.versions)
+                if version_id.epoch == self.state.epoch
+            ]
             raise CallRefused(
-                f"no version {to}; kept are {kept[0]} to {kept[-1]}" if kept else "none is kept"
+                f"no version {number}; kept versions are {kept[0]} to {kept[-1]}"
+                if kept
+                else "no version is kept"
             )
-        return self.publish(old.text, now, of=to)
+        return self.publish(old.text, now, restored_number=number)
 
     def status(self) -> dict[str, Any]:
-        r = self.rollout
+        """The rollout and the state of each front, for operators."""
+        rollout = self.rollout
         return {
-            "epoch": r.version.epoch,
-            "number": r.version.number,
-            "phase": r.phase.name.lower(),
-            "ring": r.ring + 1
-            if r.phase in (VersionRolloutPhase.ROLLING, VersionRolloutPhase.HALTED)
+            "epoch": rollout.version.epoch,
+            "number": rollout.version.number,
+            "phase": rollout.phase.name.lower(),
+            "ring": rollout.ring + 1
+            if rollout.phase in (VersionRolloutPhase.ROLLING, VersionRolloutPhase.HALTED)
             else None,
-            "rings": len(r.plan.rings),
-            "why": r.halt_reason,
+            "rings": len(rollout.plan.rings),
+            "why": rollout.halt_reason,
             "base": list(self.state.base),
             "fronts": [
                 {
-                    "name": f.name,
-                    "here": f.connected,
-                    "holds": [f.holds.epoch, f.holds.number],
-                    "stand": f.state.name.lower(),
-                    "code": f.code,
-                    "text": f.text,
+                    "name": record.name,
+                    "here": record.connected,
+                    "holds": [record.holds.epoch, record.holds.number],
+                    "stand": record.state.name.lower(),
+                    "code": record.code,
+                    "text": record.text,
                 }
-                for _, f in sorted(r.fronts.items())
+                for _, record in sorted(rollout.fronts.items())
             ],
         }
 
     # --- sockets ---
 
     def accept(self) -> None:
+        """Accepts connections of fronts."""
         while True:
             try:
                 sock, _ = self.sock.accept()
@@ -389,38 +440,40 @@
             gevent.spawn(self.serve_front, sock)
 
     def serve_front(self, sock: socket.socket) -> None:
-        link, decoder = FrontStream(sock), FrameDecoder()
+        """Reads the frames of one front until its stream ends."""
+        stream, decoder = FrontStream(sock), FrameDecoder()
         self.open_streams += 1
-        writer = gevent.spawn(self.write_frames, link)
+        writer = gevent.spawn(self.write_frames, stream)
         try:
             try_set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
             sock.settimeout(SILENCE_TIMEOUT_S)
             while data := sock.recv(64 * 1024):
                 for frame in decoder.feed(data):
-                    self.mailbox.put(FrameReceived(link, frame))
+                    self.mailbox.put(FrameReceived(stream, frame))
         except (OSError, FrameError) as error:
-            self.log("front lost", name=link.name, why=f"{type(error).__name__}: {error}")
+            self.log("front lost", name=stream.name, why=f"{type(error).__name__}: {error}")
         finally:
             self.open_streams -= 1
             writer.kill(block=False)
             sock.close()
-            self.mailbox.put(FrameReceived(link, None))
+            self.mailbox.put(FrameReceived(stream, None))
 
-    def write_frames(self, link: FrontStream) -> None:
-        """One front that does not read keeps nobody waiting but itself."""
+    def write_frames(self, stream: FrontStream) -> None:
+        """Sends queued frames and heartbeats. A front that does not read delays only its own stream."""
         try:
             while True:
                 frame = None
                 with gevent.Timeout(HEARTBEAT_S, False):
-                    frame = link.queue.get()
+                    frame = stream.queue.get()
                     if frame is None:
-                        link.sock.shutdown(socket.SHUT_RDWR)
+                        stream.sock.shutdown(socket.SHUT_RDWR)
                         return
-                link.sock.sendall(frame if frame is not None else encode_frame("alive"))
+                stream.sock.sendall(frame if frame is not None else encode_frame("alive"))
         except OSError:
-            pass  # its reader sees it too
+            pass  # the reader sees the error too
 
     def serve_calls(self, calls: socket.socket) -> None:
+        """Accepts calls of operators."""
         while True:
             try:
                 sock, _ = calls.accept()
@@ -433,8 +486,8 @@
             gevent.spawn(self.serve_call, sock)
 
     def serve_call(self, sock: socket.socket) -> None:
-        """One line, one answer."""
-        text, got = b"", SimpleQueue()
+        """Reads one call and sends its answer."""
+        text, replies = b"", SimpleQueue()
         try:
             sock.settimeout(SILENCE_TIMEOUT_S)
             while not text.endswith(b"\n") and len(text) < 3 * MAX_DOCUMENT_BYTES:
@@ -443,26 +496,27 @@
                     return
                 text += data
             try:
-                words = orjson.loads(text)
-                if not isinstance(words, dict):
-                    raise ValueError("no object")
+                fields = orjson.loads(text)
+                if not isinstance(fields, dict):
+                    raise ValueError("not an object")
             except ValueError as error:
-                sock.sendall(orjson.dumps({"ok": False, "why": f"no JSON: {error}"}) + b"\n")
+                sock.sendall(orjson.dumps({"ok": False, "why": f"not valid JSON: {error}"}) + b"\n")
                 return
-            self.mailbox.put(OperatorCall(words, got.put))
-            sock.sendall(orjson.dumps(got.get()) + b"\n")
+            self.mailbox.put(OperatorCall(fields, replies.put))
+            sock.sendall(orjson.dumps(replies.get()) + b"\n")
         except OSError:
-            pass  # the operator left
+            pass  # the operator has disconnected
         finally:
             sock.close()
 
 
-def call_service(folder: Path, **words: Any) -> dict[str, Any]:
-    """An operator's call on a service that runs over this folder. Raises OSError where none answers."""
+def call_service(folder: Path, **fields: Any) -> dict[str, Any]:
+    """Sends an operator's call to the service of this folder and returns the answer. Raises OSError if
+    none is running."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(10.0)
         sock.connect(str(folder / CALL_SOCKET))
-        sock.sendall(orjson.dumps(words) + b"\n")
+        sock.sendall(orjson.dumps(fields) + b"\n")
         text = b""
         while data := sock.recv(1 << 16):
             text += data
@@ -470,6 +524,7 @@
 
 
 def run_until_signal(service: ControlService) -> None:
-    for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, service.stop.set)
+    """Runs a service until SIGTERM or SIGINT."""
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        gevent.signal_handler(signal_number, service.stop.set)
     service.run()
