--- a/myrtleroad/policy/balancer.py
+++ b/myrtleroad/policy/balancer.py
@@ -40,9 +40,9 @@
         self.recent_samples = [0.0] * len(settings.routes)  # decaying number of samples behind that
         self.client_timeout_ms = [0.0] * len(settings.routes)  # learned: time left of first requests
         self.mean_latency_ms = [r.objective_ms / 4 for r in settings.routes]  # learned
-        kinds = range(len(settings.routes) if settings.rollout.cap_per_route else 1)
+        window_indices = range(len(settings.routes) if settings.rollout.cap_per_route else 1)
         # Times of requests and of attempts on the trial build, dropped by age in ``prune_windows``.
-        self.request_times, self.trial_attempt_times = ([deque() for _ in kinds] for _ in range(2))
+        self.request_times, self.trial_attempt_times = ([deque() for _ in window_indices] for _ in range(2))
         self.retry_tokens, self.connect_failure_rate = 5.0, 0.0  # the latter of recent attempts
         (
             self.completed_cost,
@@ -116,9 +116,9 @@
 
     def rebuild_pools(self) -> None:
         """Sort the servers into pools and recompute what depends on the list as a whole."""
-        live = [s for s in self.servers.values() if s.entry.status == ServerStatus.IN_SERVICE]
+        in_service = [s for s in self.servers.values() if s.entry.status == ServerStatus.IN_SERVICE]
         self.pools = {
-            on_trial: [s for s in live if self.is_on_trial(s.entry.build) == on_trial]
+            on_trial: [s for s in in_service if self.is_on_trial(s.entry.build) == on_trial]
             for on_trial in (False, True)
         }
         starts = [
@@ -132,7 +132,7 @@
         self.cold_servers = {
             on_trial: [s for s in pool if s.entry.started_at > 0] for on_trial, pool in self.pools.items()
         }
-        self.mean_size = sum(map(self.size, live)) / max(1, len(live))
+        self.mean_size = sum(map(self.size, in_service)) / max(1, len(in_service))
         self.in_flight = sum(len(s.in_flight) for s in self.servers.values() if not self.is_isolated(s))
 
     def update_stage(self, event: interface.StageUpdate, now: float) -> list[interface.Action]:
@@ -187,10 +187,10 @@
         retriable = self.settings.routes[request.route].retry_safety == RetrySafety.RETRIABLE
         if cap <= 0 or (stage < rollout.retriable_only_stages and not retriable):
             return False
-        kind = request.route if rollout.cap_per_route else 0
+        window_index = request.route if rollout.cap_per_route else 0
         self.prune_windows(now)
-        return len(self.trial_attempt_times[kind]) + 1 <= rollout.free_attempts + cap * len(
-            self.request_times[kind]
+        return len(self.trial_attempt_times[window_index]) + 1 <= rollout.free_attempts + cap * len(
+            self.request_times[window_index]
         )
 
     def prune_windows(self, now: float) -> None:
@@ -250,16 +250,16 @@
         self.lease_logged_valid = valid
         if valid:
             return [interface.LogMessage("list lease holds again")]
-        shown = sum(self.may_send_to(s, now) for s in self.servers.values())
+        usable_servers = sum(self.may_send_to(s, now) for s in self.servers.values())
         return [
             interface.LogMessage(
-                f"list lease expired: {shown} of {len(self.servers)} servers have shown they serve"
+                f"list lease expired: {usable_servers} of {len(self.servers)} servers have shown they serve"
             )
         ]
 
     def trial_stage_age_ms(self, now: float) -> float:
         """Time since the newest server of the build started. If none has started since the stage began, one
-        is assumed to have started 8 s into the stage, the worst case seen on the bench."""
+        is assumed to have started 8 s into the stage, the worst case observed in simulation."""
         return now - (
             self.newest_start_at
             if self.newest_start_at > self.stage_started_at
@@ -338,10 +338,13 @@
             # No attempts in the first window, as all fronts learn of a start at the same time; it ends at a
             # random moment. Drawn only once where the platform counts attempts: more of them on cold trial
             # servers look like a slow build to it.
-            once, first = self.settings.rollout.counts_interval_ms > 0, server.draw_expires_at < 0
-            server.rounding_draw = self.random() if once or not first else float("inf")
+            draws_once, is_first_draw = (
+                self.settings.rollout.counts_interval_ms > 0,
+                server.draw_expires_at < 0,
+            )
+            server.rounding_draw = self.random() if draws_once or not is_first_draw else float("inf")
             server.draw_expires_at = now + (
-                float("inf") if once else window_ms * (self.random() if first else 1.0)
+                float("inf") if draws_once else window_ms * (self.random() if is_first_draw else 1.0)
             )
 
     def is_cold_attempt_due(self, server: Server, cost_ms: float, now: float) -> bool:
@@ -352,12 +355,12 @@
         share_ms = (
             self.warmth(server, now) * self.completion_rate * self.settings.server_rules.overload_window_ms
         )
-        drawn = (
+        draw_allows = (
             server.draw_expires_at < 1e18
             and not server.cold_attempts
             and server.rounding_draw * cost_ms < share_ms < cost_ms
         )
-        return drawn and server.ejected_until <= now
+        return draw_allows and server.ejected_until <= now
 
     def record_outcome(self, request_id: int, ended: interface.AttemptEnded, now: float) -> None:
         """Record the end of an attempt: load, latency, failures, ejection and samples for the trial."""
@@ -365,14 +368,14 @@
         attempt = server.in_flight.pop((request_id, ended.attempt_number), None) if server else None
         if server is None or attempt is None:
             return
-        index, isolated, completed = (
+        route_index, isolated, completed = (
             attempt.route,
             self.is_isolated(server),
             ended.outcome == Outcome.COMPLETED,
         )
-        route, ratio = (
-            self.settings.routes[index],
-            min(ended.duration_ms / self.settings.routes[index].objective_ms, 1.5),
+        route, latency_ratio = (
+            self.settings.routes[route_index],
+            min(ended.duration_ms / self.settings.routes[route_index].objective_ms, 1.5),
         )
         self.in_flight -= not isolated
         if ended.reported_load is not None:
@@ -381,7 +384,7 @@
             self.other_load_per_size += 0.05 * (
                 excess / (self.size(server) * self.warmth(server, now)) - self.other_load_per_size
             )
-        if ended.outcome == Outcome.TIMEOUT and ratio < 0.9:
+        if ended.outcome == Outcome.TIMEOUT and latency_ratio < 0.9:
             return  # the client's own timeout was short: it shows nothing of server, build or queue
         if completed:
             self.completed_cost += attempt.expected_cost_ms
@@ -391,43 +394,48 @@
                 and self.is_on_trial(server.entry.build)
             ):
                 self.trial_answered_keys.add(attempt.dedup_key)
-            relative = (
-                ended.duration_ms / self.mean_latency_ms[index] / attempt.concurrency * self.mean_concurrency
+            relative_latency = (
+                ended.duration_ms
+                / self.mean_latency_ms[route_index]
+                / attempt.concurrency
+                * self.mean_concurrency
             )
             server.accepted_at = max(server.accepted_at, attempt.sent_at)
             if self.lease is not None and self.lease.covers_connection(ended.connected_at):
                 server.served_at = max(server.served_at, attempt.sent_at)
             server.latency_samples += 1  # the more of them, the less one expensive request changes the mean
             server.relative_latency += max(0.03, 1 / (server.latency_samples + 9)) * (
-                min(relative, 4.0) - server.relative_latency
+                min(relative_latency, 4.0) - server.relative_latency
+            )
+            self.mean_latency_ms[route_index] += 0.02 * (
+                ended.duration_ms - self.mean_latency_ms[route_index]
             )
-            self.mean_latency_ms[index] += 0.02 * (ended.duration_ms - self.mean_latency_ms[index])
         if (completed or ended.outcome in (Outcome.TIMEOUT, Outcome.FULL)) and not isolated:
-            self.latency_ratio[index] += self.RATIO_GAIN * (
-                (ratio if completed else 1.5) - self.latency_ratio[index]
+            self.latency_ratio[route_index] += self.RATIO_GAIN * (
+                (latency_ratio if completed else 1.5) - self.latency_ratio[route_index]
             )
-            self.recent_samples[index] += 1
+            self.recent_samples[route_index] += 1
             self.samples_since_tick += 1
-        unconnected = ended.outcome == Outcome.NOT_CONNECTED
-        self.connect_failure_rate += 0.05 * (unconnected - self.connect_failure_rate)
-        server.last_connected_at = server.last_connected_at if unconnected else now
+        not_connected = ended.outcome == Outcome.NOT_CONNECTED
+        self.connect_failure_rate += 0.05 * (not_connected - self.connect_failure_rate)
+        server.last_connected_at = server.last_connected_at if not_connected else now
         if ended.outcome == Outcome.FULL and self.lease is not None and not self.lease.has_stream:
             server.ejected_until = now + 2000  # it may be draining, and no stream is there to deliver that
             server.served_at = -1e9
         failed = ended.outcome in (Outcome.ERRORED, Outcome.FULL, Outcome.RESET, Outcome.TIMEOUT)
         if failed or completed:
             server.failure_rate += 0.2 * (failed - server.failure_rate)
-        if unconnected or (failed and server.failure_rate > 0.45):
-            self.eject(server, now, unconnected)
+        if not_connected or (failed and server.failure_rate > 0.45):
+            self.eject(server, now, not_connected)
         if (
             attempt.counts_for_trial
-            and not self.is_slow_route(index)
+            and not self.is_slow_route(route_index)
             and (completed or (failed and ended.outcome != Outcome.FULL))
         ):
             score = ended.duration_ms if completed else route.timeout_ms
             self.trial_test.add_sample(
                 server.entry.build,
-                index,
+                route_index,
                 score,
                 attempt.concurrency,
                 completed,
@@ -449,21 +457,22 @@
             )
             self.trial_test.add_sample(server.entry.build, event.route, score, 2.0, False, on_trial, now)
 
-    def eject(self, server: Server, now: float, unconnected: bool) -> None:
+    def eject(self, server: Server, now: float, not_connected: bool) -> None:
         """Exclude a server for 2 to 3 s. Guards against failing servers and bad links. A failure that all
         servers share ejects none, and two fifths of the pool stay in use."""
         pool = self.pools[self.is_on_trial(server.entry.build)]
-        common = sorted(s.failure_rate for s in pool)[len(pool) // 4] if pool else 1.0
-        if unconnected or (
-            server.failure_rate > 0.45 + common and 5 * self.count_ejected(pool, now) < 3 * len(pool)
+        common_failure_rate = sorted(s.failure_rate for s in pool)[len(pool) // 4] if pool else 1.0
+        if not_connected or (
+            server.failure_rate > 0.45 + common_failure_rate
+            and 5 * self.count_ejected(pool, now) < 3 * len(pool)
         ):
             server.ejected_until = now + 2000 + 1000 * self.random()
-            server.failure_rate = server.failure_rate if unconnected else 0.35
+            server.failure_rate = server.failure_rate if not_connected else 0.35
 
-    def is_slow_route(self, index: int) -> bool:
+    def is_slow_route(self, route_index: int) -> bool:
         """Whether this route alone is late on every server, which neither a server nor a queue causes."""
-        return self.latency_ratio[index] > 3 * max(
-            self.latency_ratio[:index] + self.latency_ratio[index + 1 :], default=1.0
+        return self.latency_ratio[route_index] > 3 * max(
+            self.latency_ratio[:route_index] + self.latency_ratio[route_index + 1 :], default=1.0
         )
 
     def count_ejected(self, servers: Iterable[Server], now: float) -> int:
@@ -500,12 +509,14 @@
         latency *= (1 + server.failure_rate) * (1.15 if server.entry.zone != self.settings.zone else 1.0)
         # So is a new connection. One is needed if the existing ones carry attempts, or have been idle for so
         # long that they are closed soon.
-        new = bool(server.in_flight) or now - server.accepted_at > 0.8 * self.settings.idle_timeout_ms
-        latency *= 1 + self.settings.handshake_cost * new
+        needs_connection = (
+            bool(server.in_flight) or now - server.accepted_at > 0.8 * self.settings.idle_timeout_ms
+        )
+        latency *= 1 + self.settings.handshake_cost * needs_connection
         # The additional request counts as on a server of mean size, or all fronts would prefer large servers,
         # which then have no room.
-        added = self.size(server) / self.mean_size
-        return (len(server.in_flight) + max(0.0, server.other_load) + added) * latency / size
+        added_load = self.size(server) / self.mean_size
+        return (len(server.in_flight) + max(0.0, server.other_load) + added_load) * latency / size
 
     # Most servers that are compared for an attempt. Bounds the work, and keeps fronts that know the same from
     # all picking the same server.
@@ -519,8 +530,11 @@
         pool = sample = self.pools[on_trial]
         if len(pool) > self.SAMPLE_SIZE:
             # Drawn by size and warmth, so that fronts without any statistics load all servers alike.
-            sums = self.cumulative_sizes[on_trial]
-            sample = [pool[bisect(sums, self.random() * sums[-1])] for _ in range(self.SAMPLE_SIZE)]
+            cumulative_sizes = self.cumulative_sizes[on_trial]
+            sample = [
+                pool[bisect(cumulative_sizes, self.random() * cumulative_sizes[-1])]
+                for _ in range(self.SAMPLE_SIZE)
+            ]
             sample = [s for s in sample if s.entry.started_at <= 0 or self.random() < self.warmth(s, now)]
             self.cold_servers[on_trial] = cold = [
                 s for s in self.cold_servers[on_trial] if self.warmth(s, now) < 1
@@ -529,9 +543,11 @@
             if server := next((s for s in due if self.may_attempt(s, request, now, past)), None):
                 return server
         sample = [s for s in sample if s.ejected_until <= now and all(s is not tried for tried, _, _ in past)]
-        fit = [s for s in sample if self.may_attempt(s, request, now, past)]
-        fit = fit or [s for s in pool if self.may_attempt(s, request, now, past)]
-        return min(fit, key=lambda s: self.expected_cost(s, now) * (1 + 0.05 * self.random()), default=None)
+        eligible = [s for s in sample if self.may_attempt(s, request, now, past)]
+        eligible = eligible or [s for s in pool if self.may_attempt(s, request, now, past)]
+        return min(
+            eligible, key=lambda s: self.expected_cost(s, now) * (1 + 0.05 * self.random()), default=None
+        )
 
     def may_send_to(self, server: Server, now: float) -> bool:
         """Whether the list, considering its age, allows new attempts on a server."""
@@ -559,7 +575,7 @@
         return self.best_server(False, request, now, past) or self.best_server(True, request, now, past)
 
     # Bounds on the trial's share of attempts over its share of the fleet's capacity, and on the load of its
-    # servers over that of the others. Source: docs/design.md.
+    # servers over that of the others. Source: ``docs/design.md``.
     MAX_TRIAL_OVERSHARE, MAX_TRIAL_LOAD_RATIO = 1.35, 1.3
 
     def update_trial_credit(self, now: float) -> None:
@@ -568,18 +584,18 @@
             # A random start, so that fronts do not all begin at once.
             self.trial_credit_per_request, self.trial_credit = 0.0, self.random()
             return
-        size = [sum(self.size(s) * self.warmth(s, now) for s in pool) for pool in self.pools.values()]
+        sizes = [sum(self.size(s) * self.warmth(s, now) for s in pool) for pool in self.pools.values()]
         # Guards against blaming the build for the load that the extra attempts add: on busy servers a third
         # more attempts makes a queue. Where the platform sends counts, the test on them allows twice the
         # latency and needs the attempts.
-        calm = (
+        headroom = (
             1.0
             if self.settings.rollout.counts_interval_ms
             else max(0.0, 1 - self.mean_latency_ratio / self.TARGET_RATIO)
         )
-        overshare = 1 + (self.MAX_TRIAL_OVERSHARE - 1) * calm
+        overshare = 1 + (self.MAX_TRIAL_OVERSHARE - 1) * headroom
         self.trial_credit_per_request = min(
-            0.8 * self.exposure_cap(self.pools[True][-1].entry.build)[0], overshare * size[1] / sum(size)
+            0.8 * self.exposure_cap(self.pools[True][-1].entry.build)[0], overshare * sizes[1] / sum(sizes)
         )
 
     def may_attempt(self, server: Server, request: interface.Request, now: float, past: PastAttempts) -> bool:
@@ -596,15 +612,17 @@
         route, executed = self.settings.routes[request.route], [p for p in past if p[2]]
         if not executed or route.retry_safety == RetrySafety.RETRIABLE:
             return True
-        first, attempt, _ = executed[0]
+        first_server, first_attempt, _ = executed[0]
         if (
             route.retry_safety == RetrySafety.NON_RETRIABLE
-            or now - attempt.sent_at >= route.dedup_window_ms - self.TICK_MS
+            or now - first_attempt.sent_at >= route.dedup_window_ms - self.TICK_MS
         ):
             return False
-        return (True, first.entry.zone == server.entry.zone, first.entry.cell == server.entry.cell)[
-            route.dedup_scope
-        ]
+        return (
+            True,
+            first_server.entry.zone == server.entry.zone,
+            first_server.entry.cell == server.entry.cell,
+        )[route.dedup_scope]
 
     def shed_or_fail(self, request: interface.Request, past: PastAttempts) -> interface.Shed | interface.Fail:
         """The answer to a request that gets no further attempt: an error if it may have been executed and
@@ -640,25 +658,25 @@
             # small front.
             quota = self.settings.tenants[request.tenant].quota_per_s * self.traffic_share
             limit = quota + 5
-            used, at = self.tenant_usage[request.tenant]
-            used = max(0.0, used - (now - at) * quota / 1000) + 1
-            self.tenant_usage[request.tenant] = (min(used, 2 * limit), now)
-            benefit *= self.settings.over_share_benefit if used > limit else 1.0
+            usage, updated_at = self.tenant_usage[request.tenant]
+            usage = max(0.0, usage - (now - updated_at) * quota / 1000) + 1
+            self.tenant_usage[request.tenant] = (min(usage, 2 * limit), now)
+            benefit *= self.settings.over_share_benefit if usage > limit else 1.0
         return benefit
 
     def admission_limit(self, request: interface.Request, now: float) -> float:
         """Number of attempts in flight below which a request is admitted: lower for a low benefit, and for a
         repeat that can only be answered late."""
-        index, route = request.route, self.settings.routes[request.route]
+        route_index, route = request.route, self.settings.routes[request.route]
         # Time left beyond what first requests bring; negative for a repeat.
-        excess_ms = min(request.deadline - now, route.timeout_ms) - self.client_timeout_ms[index]
-        self.client_timeout_ms[index] += (0.1 if excess_ms > 0 else 0.005) * excess_ms
-        timely = (
+        excess_ms = min(request.deadline - now, route.timeout_ms) - self.client_timeout_ms[route_index]
+        self.client_timeout_ms[route_index] += (0.1 if excess_ms > 0 else 0.005) * excess_ms
+        lateness_factor = (
             0.6 + 0.4 * route.late_benefit
-            if self.mean_latency_ms[index] - excess_ms > route.objective_ms
+            if self.mean_latency_ms[route_index] - excess_ms > route.objective_ms
             else 1.0
         )
-        return self.in_flight_limit * (0.7 + 0.3 * self.relative_benefit(request, now)) * timely
+        return self.in_flight_limit * (0.7 + 0.3 * self.relative_benefit(request, now)) * lateness_factor
 
     def is_isolated(self, server: Server) -> bool:
         """Whether a server is on trial while most are not. Its attempts do not count towards the limit, so
@@ -673,21 +691,26 @@
         load = max(self.in_flight, self.mean_in_flight)
         # Decays, as an overload that yields no responses must not keep the limit low for ever.
         self.recent_samples = [0.98 * x for x in self.recent_samples]
-        fair = [index for index in range(len(self.recent_samples)) if not self.is_slow_route(index)]
-        ratio = sum(self.recent_samples[index] * self.latency_ratio[index] for index in fair) / (
-            sum(self.recent_samples[index] for index in fair) + 1
-        )
-        self.mean_latency_ratio = ratio
-        if ratio > self.TARGET_RATIO:
+        counted_routes = [
+            route_index
+            for route_index in range(len(self.recent_samples))
+            if not self.is_slow_route(route_index)
+        ]
+        latency_ratio = sum(
+            self.recent_samples[route_index] * self.latency_ratio[route_index]
+            for route_index in counted_routes
+        ) / (sum(self.recent_samples[route_index] for route_index in counted_routes) + 1)
+        self.mean_latency_ratio = latency_ratio
+        if latency_ratio > self.TARGET_RATIO:
             # Lowered only as far as the samples since the last tick support it, and not into the range that
             # chance alone reaches: on a small front, one late response or a burst is no overload.
-            factor = 1 - 0.15 * min(1.0, ratio / self.TARGET_RATIO - 1) * min(
+            factor = 1 - 0.15 * min(1.0, latency_ratio / self.TARGET_RATIO - 1) * min(
                 1.0, self.RATIO_GAIN * self.samples_since_tick
             )
             # Two attempts on each server from all fronts together.
-            lowest = self.chance_bound(2 * len(self.servers) / self.settings.balancers)
+            min_limit = self.chance_bound(2 * len(self.servers) / self.settings.balancers)
             self.in_flight_limit = max(
-                lowest,
+                min_limit,
                 factor * min(self.in_flight_limit, max(1.5 * load, self.chance_bound(self.mean_in_flight))),
             )
         elif load > 0.6 * self.in_flight_limit:
--- a/tests/test_rules.py
+++ b/tests/test_balancer.py
@@ -141,13 +141,15 @@
     balancer, now, server=None, outcome=interface.Outcome.COMPLETED, connected_at=0.0, request_id=1
 ):
     """Send one request at ``now`` that ends 10 ms later. Returns its server, or None if it was shed."""
-    act = next(balancer.serve_request(build_request(request_id, deadline=now + 2000.0), now))
-    if not isinstance(act, interface.SendAttempt):
+    action = next(balancer.serve_request(build_request(request_id, deadline=now + 2000.0), now))
+    if not isinstance(action, interface.SendAttempt):
         return None
     balancer.record_outcome(
-        request_id, interface.AttemptEnded(act.server, 0, outcome, 10.0, None, True, connected_at), now + 10.0
+        request_id,
+        interface.AttemptEnded(action.server, 0, outcome, 10.0, None, True, connected_at),
+        now + 10.0,
     )
-    return act.server
+    return action.server
 
 
 def test_unconfirmed_list_is_used_for_no_longer_than_changes_may_go_unnoticed(balancer):
@@ -208,15 +210,15 @@
 
 def test_after_the_lease_expires_shed_requests_get_a_retry_after(balancer):
     with_lease(balancer)
-    act = next(balancer.serve_request(build_request(), 7000.0))
-    assert isinstance(act, interface.Shed) and act.retry_after_ms > 0
+    action = next(balancer.serve_request(build_request(), 7000.0))
+    assert isinstance(action, interface.Shed) and action.retry_after_ms > 0
 
 
 def test_attempt_withdrawn_before_its_first_byte_costs_no_retry_token(balancer):
     balancer.retry_tokens = 0.0
     decisions = balancer.serve_request(build_request(1), 0.0)
-    act = next(decisions)
-    ended = interface.AttemptEnded(act.server, 0, interface.Outcome.MOOT, 1.0, None, False)
+    action = next(decisions)
+    ended = interface.AttemptEnded(action.server, 0, interface.Outcome.MOOT, 1.0, None, False)
     balancer.record_outcome(1, ended, 1.0)
     assert isinstance(decisions.send((1.0, ended)), interface.SendAttempt)
 
--- a/tests/test_judge.py
+++ b/tests/test_trial.py
@@ -13,11 +13,15 @@
 
 def test_without_covariate_the_result_is_that_of_yuens_test():
     draw = random.Random(3)
-    a = [draw.lognormvariate(0.2, 1) for _ in range(230)]
-    b = [draw.lognormvariate(0.0, 1) for _ in range(310)]
-    p, y2, y1 = yuen_cuped([(v, 0.0) for v in a], [(v, 0.0) for v in b], 1.0)
-    assert p == pytest.approx(ttest_ind(a, b, equal_var=False, trim=0.01, alternative="greater").pvalue)
-    assert y2 > y1
+    trial_scores = [draw.lognormvariate(0.2, 1) for _ in range(230)]
+    earlier_scores = [draw.lognormvariate(0.0, 1) for _ in range(310)]
+    p, trial_mean, earlier_mean = yuen_cuped(
+        [(v, 0.0) for v in trial_scores], [(v, 0.0) for v in earlier_scores], 1.0
+    )
+    assert p == pytest.approx(
+        ttest_ind(trial_scores, earlier_scores, equal_var=False, trim=0.01, alternative="greater").pvalue
+    )
+    assert trial_mean > earlier_mean
 
 
 def test_covariate_against_a_calculation_by_hand():
@@ -26,8 +30,8 @@
         for side in ((6.0, 6.0, 9.0), (2.0, 2.0, 5.0))
     )
     # h(h-1) = 6; sums of squares: y 6, x 2, xy 3; theta 3/2; variance each (6 + 2.25*2 - 3*3)/6 = 0.25
-    p, y2, y1 = yuen_cuped(trial, earlier, 1.0)
-    assert (y2, y1) == (7.0, 3.0)
+    p, trial_mean, earlier_mean = yuen_cuped(trial, earlier, 1.0)
+    assert (trial_mean, earlier_mean) == (7.0, 3.0)
     # t = 4 / sqrt(0.5) on 4 degrees of freedom: with x = t / sqrt(4 + t^2), p = 1/2 - x/2 (1 + (1 - x^2)/2)
     assert p == pytest.approx(0.00240634, rel=1e-5)
 
@@ -233,7 +237,7 @@
     assert build_trial_test(6, score=100.0).decide(1, 8000.0, False)[0] == Verdict.ON
 
 
-def test_small_front_waits_for_samples_and_votes_in_the_end():
+def test_small_front_waits_for_samples_for_a_bounded_time():
     trial_test = build_trial_test(2, score=100.0)
     assert trial_test.decide(1, 5000.0, False)[0] == Verdict.NONE
     assert trial_test.decide(1, 7100.0, False)[0] == Verdict.ON
@@ -247,7 +251,7 @@
     assert trial_test.decide(1, 9000.0, False)[0] == Verdict.BACK
 
 
-def test_good_builds_are_rejected_by_far_fewer_fronts_than_a_rollback_takes():
+def test_fewer_fronts_reject_a_good_build_than_a_rollback_takes():
     # Durations vary as those of real attempts do, exponentially. 16 of 200 fronts would have to err together.
     draw, rollbacks = random.Random(5).expovariate, 0
     for _ in range(200):
