--- a/myrtleroad/interface.py
+++ b/myrtleroad/interface.py
@@ -245,7 +245,7 @@
     attempt_number: int
     outcome: Outcome
     duration_ms: float
-    reported_load: float | None  # number of requests that the server says it holds
+    reported_load: float | None  # number of requests in progress that the server reports
     request_finished: bool
     connected_at: float = float("inf")  # when the connection that carried it was established, if known
 
--- a/myrtleroad/membership/call_backoff.py
+++ b/myrtleroad/membership/call_backoff.py
@@ -88,4 +88,5 @@
         return self.span_ms(self.SHARED_BASE_SPAN_MS, longest_span_ms) * (0.5 + 0.5 * self.random())
 
     def span_ms(self, base_ms: float, longest_ms: float) -> float:
+        """The span after the failures so far: ``base_ms`` doubled for each one after the first."""
         return min(longest_ms, base_ms * 2.0 ** min(self.failures - 1, 16))
--- a/myrtleroad/membership/lease.py
+++ b/myrtleroad/membership/lease.py
@@ -33,6 +33,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> "LeaseTerms":
+        """The terms that follow from the platform's rules on drains and on polling."""
         margin_ms = max(0.0, settings.server_rules.drain_grace_ms - MAX_STALL_MS)
         notified_after_ms = min(
             NOTIFIED_AFTER_MS, settings.server_rules.max_poll_interval_ms or NOTIFIED_AFTER_MS
--- a/myrtleroad/membership/server_list.py
+++ b/myrtleroad/membership/server_list.py
@@ -185,6 +185,7 @@
         return change if entries or message.unreadable else None
 
     def merged_with_held_back(self, message: ListMessage[T]) -> ListMessage[T]:
+        """A message of a source that is held back, together with what was held back of the same source."""
         held_back = self.held_back
         if held_back is None or message.whole or held_back.source != message.source:
             return message
--- a/myrtleroad/membership/stream_follower.py
+++ b/myrtleroad/membership/stream_follower.py
@@ -130,11 +130,11 @@
         if self.lease is not None:
             self.lease.address_changed(now)
         # Guards against several changes in a row: of the old streams, only the last established one is kept.
-        established = [n for n, state in self.streams.items() if state.first_message_at is not None]
-        obsolete = [n for n in self.streams if n not in established[-1:]]
-        actions: list[FollowerAction] = [self.close(n, "left") for n in obsolete]
-        for n in obsolete:
-            del self.streams[n]
+        established = [number for number, state in self.streams.items() if state.first_message_at is not None]
+        obsolete = [number for number in self.streams if number not in established[-1:]]
+        actions: list[FollowerAction] = [self.close(number, "left") for number in obsolete]
+        for number in obsolete:
+            del self.streams[number]
         return [*actions, self.open(now)]
 
     def tick(self, now: float) -> list[FollowerAction]:
@@ -187,6 +187,7 @@
         return newest if newest is not None and newest.first_message_at is not None else None
 
     def open(self, now: float) -> OpenStream:
+        """Adds a stream to the current address and returns the action that opens it."""
         number, self.next_stream, self.next_open_at = self.next_stream, self.next_stream + 1, None
         self.streams[number] = StreamState(self.source, now, now)
         if self.lease is not None:
@@ -194,6 +195,7 @@
         return OpenStream(number)
 
     def close(self, number: int, why: str) -> CloseStream:
+        """The action that closes a stream; the caller removes it from ``streams``."""
         return CloseStream(number, why)
 
     def schedule_reopen(self, ended: StreamState, now: float, connected: bool = True) -> None:
--- a/myrtleroad/net/client_listener.py
+++ b/myrtleroad/net/client_listener.py
@@ -228,7 +228,7 @@
         self.ready_for_request.clear()
         self.respond(response.rejected(status))
 
-    def respond(self, final: response.Response) -> None:
+    def respond(self, final_response: response.Response) -> None:
         """Writes the final response of the open request, from any greenlet; never blocks. Without effect if
         no response is due."""
         if not self.response_due:
@@ -236,20 +236,20 @@
         self.open_request_id, self.response_due = None, False
         self.release_tenant()
         self.closing = self.closing or self.listener.stopping or self.listener.is_crowded
-        self.listener.counters.add(f"answers_{final.status}")
+        self.listener.counters.add(f"answers_{final_response.status}")
         self.write_started_at = self.listener.clock()
-        parts = self.serialize(final)
+        parts = self.serialize(final_response)
         unsent = self.close_on_error(lambda: http1.send_nowait(self.sock, parts))
         if unsent:
             gevent.spawn(self.write_rest, unsent)
         else:
             self.finish_response()
 
-    def serialize(self, final: response.Response) -> list[bytes]:
+    def serialize(self, final_response: response.Response) -> list[bytes]:
         """Returns a response as bytes. A response that cannot be serialized is replaced by status 502, as the
         connection's last."""
         try:
-            return final.serialize(self.closing)
+            return final_response.serialize(self.closing)
         except Exception as error:
             report_fault("answer", error, self.listener.counters, self.listener.log)
             self.closing = True
--- a/myrtleroad/net/clock.py
+++ b/myrtleroad/net/clock.py
@@ -13,4 +13,5 @@
         self.anchor = time.time() - time.monotonic()
 
     def __call__(self) -> float:
+        """The current time in Unix ms."""
         return (self.anchor + time.monotonic()) * 1000.0
--- a/myrtleroad/net/config_versions.py
+++ b/myrtleroad/net/config_versions.py
@@ -131,13 +131,13 @@
 
     def stream_ended(self, stream: int, reason: str) -> None:
         """A stream has ended, or could not be opened. If it was the newest, another one is opened."""
-        stood_ms = self.clock() - self.opened_at.pop(stream) if stream in self.opened_at else None
+        open_ms = self.clock() - self.opened_at.pop(stream) if stream in self.opened_at else None
         if self.sockets.pop(stream, None) is not None:
             self.ledger.stream_closed(stream)
         self.counters.add("versions_lost")
         self.log("versions lost", level="warning", why=reason)
         if stream == self.newest_stream:
-            gevent.spawn_later(self.backoff.next_pause_ms(stood_ms) / 1000, self.reconnect, stream)
+            gevent.spawn_later(self.backoff.next_pause_ms(open_ms) / 1000, self.reconnect, stream)
 
     def reconnect(self, stream: int) -> None:
         """Open another stream after the pause, unless a change of address already did."""
@@ -227,10 +227,12 @@
             self.applying = result
             self.execute(self.ledger.check_finished(offer.nonce, offer.stream))
             return
-        first, more = faults[0], f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
-        place = f"line {first.line}, column {first.column}: " if first.line else ""
-        reason = place + first.text + more
-        self.execute(self.ledger.check_finished(offer.nonce, offer.stream, first.code, reason, first.path))
+        first_fault, more_text = faults[0], f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
+        place = f"line {first_fault.line}, column {first_fault.column}: " if first_fault.line else ""
+        reason = place + first_fault.text + more_text
+        self.execute(
+            self.ledger.check_finished(offer.nonce, offer.stream, first_fault.code, reason, first_fault.path)
+        )
 
     def apply_version(self, version_id: VersionId) -> None:
         """Apply a version completely or not at all: the limits are computed first and set in one call."""
--- a/myrtleroad/net/connecting.py
+++ b/myrtleroad/net/connecting.py
@@ -8,7 +8,7 @@
 
 from myrtleroad.net.node_config import Address
 
-UNDER_WAY = frozenset((errno.EINPROGRESS, errno.EINTR))  # the connection is still being established
+IN_PROGRESS_ERRNOS = frozenset((errno.EINPROGRESS, errno.EINTR))  # the connection is still being established
 
 
 def connect(address: Address, timeout_s: float) -> socket.socket:
@@ -20,7 +20,7 @@
     try:
         raw.setblocking(False)
         error = raw.connect_ex(address)
-        if error in UNDER_WAY:
+        if error in IN_PROGRESS_ERRNOS:
             socket.wait_write(raw.fileno(), timeout_s, TimeoutError("timed out"))
             error = raw.getsockopt(system.SOL_SOCKET, system.SO_ERROR)
         if error:
--- a/myrtleroad/net/discovery.py
+++ b/myrtleroad/net/discovery.py
@@ -31,7 +31,7 @@
 # for a separate request of the whole list: a service that queues its callers takes as long
 FETCH_TIMEOUT_S = 2.5
 LIST_KEY = b'"generation"'  # a key of every list and of no server entry
-RANKS = {
+RESTRICTIONS = {
     interface.ServerStatus.IN_SERVICE: Restriction.NONE,
     interface.ServerStatus.DRAINING: Restriction.DRAINING,
     interface.ServerStatus.GONE: Restriction.GONE,
@@ -52,9 +52,9 @@
     return replace(follower_settings(node_config, HEARTBEAT_MS), service_kind=service)
 
 
-def server_rank(server: ListedServer) -> Restriction:
-    """The rank of a listed server, by its status."""
-    return RANKS[server.entry.status]
+def server_restriction(server: ListedServer) -> Restriction:
+    """How far sending to a listed server is restricted, by its status."""
+    return RESTRICTIONS[server.entry.status]
 
 
 def same_start(one: ListedServer, other: ListedServer) -> bool:
@@ -84,7 +84,7 @@
         )
         self.stream_follower.lease = self.lease
         self.name_numbers = (node_config.zones, node_config.kinds)
-        self.server_list: ServerList[ListedServer] = ServerList(server_rank, same_start)
+        self.server_list: ServerList[ListedServer] = ServerList(server_restriction, same_start)
         self.server_list.load_initial(
             node_config.initial_list.version,
             {server.server_id: server for server in node_config.initial_list.servers},
--- a/myrtleroad/net/dispatcher.py
+++ b/myrtleroad/net/dispatcher.py
@@ -323,14 +323,14 @@
         job = message.job
         self.release_id(job.message)
         open_request = self.open_requests.get(job.request_id)
-        done = message.outcome == interface.Outcome.COMPLETED
+        completed = message.outcome == interface.Outcome.COMPLETED
         load = self.load_report(message)
-        finished, connected_at = open_request is None or done, message.connected_at
+        finished, connected_at = open_request is None or completed, message.connected_at
         ended = interface.AttemptEnded(
             job.server, job.attempt_number, message.outcome, message.duration_ms, load, finished, connected_at
         )
         self.contained("try ended", self.balancer.record_outcome, job.request_id, ended, now)
-        if open_request and done:
+        if open_request and completed:
             open_request.coroutine.close()
             self.respond(open_request, response.completed(message.result))
         elif open_request:
@@ -501,7 +501,7 @@
             server.entry.server = number
             place = (server.address, server.entry.started_at)
             if number not in self.servers:
-                args = (
+                server_args = (
                     self.node_config,
                     self.clock,
                     self.counters,
@@ -509,7 +509,7 @@
                     self.attempt_ended,
                     self.preconditions_hold,
                 )
-                actor = self.servers[number] = UpstreamServer(server.address, *args)
+                actor = self.servers[number] = UpstreamServer(server.address, *server_args)
                 gevent.spawn(keep_running, "machine", actor.run, self.counters, self.log)
             elif self.server_places[number] != place:
                 self.servers[number].mailbox.put(ServerAddressChanged(server.address))
--- a/myrtleroad/net/front.py
+++ b/myrtleroad/net/front.py
@@ -56,7 +56,7 @@
         self.stop_event, self.was_ready = Event(), False
         self.front_file, self.config_versions = front_file, None
         if front_file is not None:
-            # Imported only if needed: without it a front uses no more memory than before.
+            # Imported only if needed: a front without the file needs neither these modules nor their memory.
             from myrtleroad.net import operator_limits
             from myrtleroad.net.front_file import control_address
 
--- a/myrtleroad/net/log.py
+++ b/myrtleroad/net/log.py
@@ -84,8 +84,8 @@
 
 class RateLimitedWarnings:
     """Warnings that a fault can trigger by the thousand: at most ``max_per_second`` per second are written,
-    and the first of the next second carries the number left out. Guards against a log that becomes a fault of
-    its own."""
+    and the first of the next second carries the number left out. Guards against a log that itself
+    overloads the front or its reader."""
 
     __slots__ = ("left_out", "log", "max_per_second", "second", "written")
 
@@ -95,6 +95,7 @@
         self.second, self.written, self.left_out = 0, 0, 0
 
     def __call__(self, event: str, now: float, **fields: object) -> None:
+        """Log a warning, or count it as left out. ``now`` is in ms."""
         second = int(now // 1000)
         if second != self.second:
             self.second, self.written = second, 0
--- a/myrtleroad/net/platform.py
+++ b/myrtleroad/net/platform.py
@@ -95,21 +95,21 @@
         self.event_types.pop(stream.number, None)
 
     def process_line(self, stream: Stream, line: bytes) -> None:
-        name, mark, value = line.strip().partition(b":")
+        field_name, separator, value = line.strip().partition(b":")
         value = value.strip()
-        if not mark and name:
+        if not separator and field_name:
             raise ValueError("not a line of an event stream")
-        if name == b"event":
+        if field_name == b"event":
             if value not in EVENT_TYPES:
                 raise ValueError("unknown event type")
             self.event_types[stream.number] = value
-        elif name == b"data" and self.event_types.get(stream.number) == b"progress":
+        elif field_name == b"data" and self.event_types.get(stream.number) == b"progress":
             update = stage_update(dict(parse_qsl(value.decode())))
             self.deliver(update)
             self.received(stream, build=update.build)
-        elif name == b"data":
+        elif field_name == b"data":
             self.counters.add("bulletin_unknown")
-        elif name not in (b"", b"data", b"id", b"retry"):
+        elif field_name not in (b"", b"data", b"id", b"retry"):
             raise ValueError("unknown field of an event stream")
 
 
--- a/myrtleroad/settings.py
+++ b/myrtleroad/settings.py
@@ -29,7 +29,7 @@
 
 
 def decode_settings(settings: dict[str, Any]) -> interface.Settings:
-    """Decodes the settings of a deployment; the keys are those that its users write.
+    """Decodes the settings of a deployment; the keys are those of its configuration.
 
     Raises KeyError if a key without a default is missing, or if an effect, a group or the gate mode is
     unknown.
