--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -82,15 +82,15 @@
 @pytest.fixture
 def balancer():
     """A balancer at time 0 with three servers of build 1, released."""
-    made = Balancer(build_settings(), 7, 0.0)
-    made.update_stage(build_stage_update(), 0.0)
-    made.update_server_list(
+    new_balancer = Balancer(build_settings(), 7, 0.0)
+    new_balancer.update_stage(build_stage_update(), 0.0)
+    new_balancer.update_server_list(
         interface.ServerListUpdate(
             interface.ListKind.WHOLE, [build_entry(0), build_entry(1), build_entry(2, zone=1)]
         ),
         0.0,
     )
-    return made
+    return new_balancer
 
 
 # --- the front on sockets ---
@@ -214,7 +214,7 @@
 
 
 @pytest.fixture(autouse=True)
-def bound():
+def time_limit():
     """Fails a test that takes longer than 20 s."""
     with gevent.Timeout(20):
         yield
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,7 +6,14 @@
 import pytest
 from conftest import build_node_config, discovery_entry
 from test_client_listener import VALID_REQUEST, connect, read_status, start_listener
-from test_front import AT, all_requests_accounted, build_dispatcher, end_attempt, started_jobs, submit_request
+from test_front import (
+    SERVER_ADDRESS,
+    all_requests_accounted,
+    build_dispatcher,
+    end_attempt,
+    started_jobs,
+    submit_request,
+)
 
 from myrtleroad import interface
 from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
@@ -30,7 +37,7 @@
 
 def test_attempt_results_do_not_wait_behind_queued_requests(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     responses = submit_request(dispatcher_actor, 1)
     (job,) = started_jobs(dispatcher_actor)
     enqueue_requests(dispatcher_actor, 5000)
@@ -49,9 +56,9 @@
 
 
 def test_an_attempt_that_the_server_actor_cannot_start_still_has_an_outcome(monkeypatch):
-    results, node_config = [], build_node_config(discovery_entry("s-1", AT))
+    results, node_config = [], build_node_config(discovery_entry("s-1", SERVER_ADDRESS))
     server = upstream_server.UpstreamServer(
-        AT,
+        SERVER_ADDRESS,
         node_config,
         Clock(),
         Counters(),
@@ -83,13 +90,13 @@
 
 def test_overdue_responses_are_logged_by_request_id_a_few_per_second():
     lines = []
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     start = dispatcher_actor.clock()
     dispatcher_actor.overdue_warnings = RateLimitedWarnings(
         lambda event, **fields: lines.append((fields["txn"], fields.get("left_out"))), 2
     )
     for number in range(1, 7):
-        submit_request(dispatcher_actor, number, within=900.0)
+        submit_request(dispatcher_actor, number, within_ms=900.0)
     dispatcher_actor.clock = lambda: start + 1000.0
     dispatcher_actor.expire_requests(start + 1000.0)
     assert lines == [("a1", None), ("a2", None)]
@@ -185,7 +192,7 @@
 
 
 def test_no_request_is_lost_when_150_of_1024_servers_terminate_in_one_list_update():
-    entries = [discovery_entry(f"s-{number}", AT) for number in range(1024)]
+    entries = [discovery_entry(f"s-{number}", SERVER_ADDRESS) for number in range(1024)]
     dispatcher_actor = build_dispatcher(*entries)
     responses = [submit_request(dispatcher_actor, number) for number in range(1, 301)]
     jobs = dispatched_jobs(dispatcher_actor)
--- a/tests/test_admission_faults.py
+++ b/tests/test_admission_faults.py
@@ -8,7 +8,14 @@
 from hypothesis import strategies as st
 from test_admission import enqueue_requests, send_and_block_loop
 from test_client_listener import VALID_REQUEST, connect, read_status, start_listener
-from test_front import AT, all_requests_accounted, build_dispatcher, end_attempt, started_jobs, submit_request
+from test_front import (
+    SERVER_ADDRESS,
+    all_requests_accounted,
+    build_dispatcher,
+    end_attempt,
+    started_jobs,
+    submit_request,
+)
 
 from myrtleroad import interface
 from myrtleroad.admission.admission_control import AdmissionControl, AdmissionDecision
@@ -17,10 +24,10 @@
 
 
 def test_a_request_without_an_outcome_is_answered_with_502_at_its_deadline():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     responses, other_responses = (
-        submit_request(dispatcher_actor, 1, within=20.0),
-        submit_request(dispatcher_actor, 2, within=900.0),
+        submit_request(dispatcher_actor, 1, within_ms=20.0),
+        submit_request(dispatcher_actor, 2, within_ms=900.0),
     )
     dispatcher_actor.expire_requests(dispatcher_actor.clock())
     assert not responses
@@ -35,7 +42,7 @@
 
 def test_the_dispatcher_yields_to_other_greenlets_while_it_processes_its_mailbox(monkeypatch):
     monkeypatch.setattr(dispatcher, "YIELD_AFTER_MS", 0.0)
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     enqueue_requests(dispatcher_actor, 500)
     running = gevent.spawn(dispatcher_actor.run)
     yield_count = 0
@@ -48,7 +55,7 @@
 
 @pytest.mark.parametrize("outcome", [interface.Outcome.COMPLETED, interface.Outcome.RESET])
 def test_a_fault_in_handling_an_outcome_fails_that_request_at_once_and_no_other(monkeypatch, outcome):
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     responses, other_responses = submit_request(dispatcher_actor, 1), submit_request(dispatcher_actor, 2)
     job, _ = started_jobs(dispatcher_actor)
     monkeypatch.setattr(dispatcher_actor, "load_report", lambda message: 1 / 0)
@@ -64,7 +71,7 @@
 
 
 def test_a_request_that_the_dispatcher_fails_to_process_gets_a_502_at_once(monkeypatch):
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     monkeypatch.setattr(dispatcher_actor, "record_delay", lambda *args: 1 / 0)
     responses = []
     request, message = (
@@ -137,7 +144,7 @@
 
 
 def test_a_request_that_waited_too_long_in_the_mailbox_is_shed_before_dispatch(monkeypatch):
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     responses = []
     request, message = (
         interface.Request(1, 0, 0, None, dispatcher_actor.clock() + 30.0, 0.0, False),
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -1,3 +1,5 @@
+"""The client listener: reading requests, timeouts, limits on connections and the stop."""
+
 import gevent
 import pytest
 from conftest import build_node_config, null_log, read_request
--- a/tests/test_exchange_result.py
+++ b/tests/test_exchange_result.py
@@ -1,3 +1,5 @@
+"""Outcomes of attempts: which results prove that a request was not executed."""
+
 import pytest
 
 from myrtleroad import interface
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -21,8 +21,8 @@
 from myrtleroad.net.log import Log
 from myrtleroad.net.node_config import server_listing
 
-AT = ("127.0.0.1", 9)
-REQ = (
+SERVER_ADDRESS = ("127.0.0.1", 9)
+REQUEST = (
     b"GET /api HTTP/1.1\r\nHost: h\r\nX-Txn: 1\r\nX-Lane: look\r\nX-Org: acme\r\nX-Remaining-Ms: 1900\r\n\r\n"
 )
 
@@ -34,9 +34,9 @@
     return dispatcher_actor
 
 
-def submit_request(dispatcher_actor, request_id=1, route=0, within=1000.0, transaction=None):
+def submit_request(dispatcher_actor, request_id=1, route=0, within_ms=1000.0, transaction=None):
     answers = []
-    request = interface.Request(request_id, route, 0, None, dispatcher_actor.clock() + within, 0.0, False)
+    request = interface.Request(request_id, route, 0, None, dispatcher_actor.clock() + within_ms, 0.0, False)
     message = Message(b"GET", b"/api", first_values={b"x-txn": transaction or b"a%d" % request_id})
     dispatcher_actor.process(
         dispatcher.RequestReceived(request, message, dispatcher_actor.clock(), answers.append),
@@ -62,7 +62,7 @@
 
 
 def list_change(**changes):
-    data = {"generation": 8, "reset": False, "instances": [discovery_entry("s-1", AT, **changes)]}
+    data = {"generation": 8, "reset": False, "instances": [discovery_entry("s-1", SERVER_ADDRESS, **changes)]}
     return server_listing(data, {"here": 0}, {"small": 0})
 
 
@@ -71,7 +71,7 @@
 
 
 def test_completed_attempt_answers_its_request_with_the_servers_body():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     answers = submit_request(dispatcher_actor)
     (job,) = started_jobs(dispatcher_actor)
     assert not answers and all_requests_accounted(dispatcher_actor)
@@ -81,7 +81,7 @@
 
 
 def test_attempts_of_a_request_are_numbered_and_end_by_its_deadline():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     submit_request(dispatcher_actor)
     (first,) = started_jobs(dispatcher_actor)
     end_attempt(
@@ -95,8 +95,8 @@
     assert second.deadline <= first.deadline + 1
 
 
-def test_client_gone_gets_no_response_and_its_attempt_still_reports():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+def test_client_that_has_left_gets_no_response_and_its_attempt_is_still_recorded():
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     answers = submit_request(dispatcher_actor)
     (job,) = started_jobs(dispatcher_actor)
     dispatcher_actor.process(dispatcher.ClientGone(1), dispatcher_actor.clock())
@@ -108,7 +108,7 @@
 
 
 def test_exception_in_the_module_ends_one_request_only(monkeypatch):
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     monkeypatch.setattr(dispatcher_actor.balancer, "best_server", lambda *args: 1 / 0)
     assert [a.status for a in submit_request(dispatcher_actor, 1)] == [502]
     monkeypatch.undo()
@@ -128,12 +128,12 @@
 
 
 def test_end_of_a_wait_resumes_the_request_and_a_void_timer_does_not(monkeypatch):
-    def waits(request, now):
+    def wait_once_then_shed(request, now):
         resumed_with = yield interface.SendAttempt(0, 900.0, 50.0)
         yield interface.Shed(float(resumed_with[1] is None))
 
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
-    monkeypatch.setattr(dispatcher_actor.balancer, "serve_request", waits)
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
+    monkeypatch.setattr(dispatcher_actor.balancer, "serve_request", wait_once_then_shed)
     early, late = submit_request(dispatcher_actor, 1), submit_request(dispatcher_actor, 2)
     (job, _) = started_jobs(dispatcher_actor)
     end_attempt(
@@ -149,19 +149,20 @@
 
 
 @pytest.mark.parametrize(
-    "what", [{"lifecycle": "terminating"}, {"startedAtMs": 5}, {"version_no": 2}, {"lifecycle": "terminated"}]
+    "changes",
+    [{"lifecycle": "terminating"}, {"startedAtMs": 5}, {"version_no": 2}, {"lifecycle": "terminated"}],
 )
-def test_list_change_before_the_write_stops_it(what):
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+def test_list_change_before_the_write_stops_it(changes):
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     submit_request(dispatcher_actor)
     (job,) = started_jobs(dispatcher_actor)
     assert dispatcher_actor.preconditions_hold(job)
-    dispatcher_actor.process(list_change(**what), dispatcher_actor.clock())
+    dispatcher_actor.process(list_change(**changes), dispatcher_actor.clock())
     assert not dispatcher_actor.preconditions_hold(job)
 
 
 def test_cap_lowered_before_the_write_stops_it():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT, version_no=2))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS, version_no=2))
     update = interface.StageUpdate(
         interface.Outcome.COMPLETED, False, 2, 0, interface.RolloutPhase.ON_TRIAL, 1.0, 0.0
     )
@@ -179,7 +180,7 @@
 
 
 def test_servers_are_removed_and_change_address_with_the_list():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     (server_actor,) = dispatcher_actor.servers.values()
     dispatcher_actor.process(list_change(hostPort="127.0.0.1:10"), dispatcher_actor.clock())
     assert server_actor.mailbox.get() == upstream_server.ServerAddressChanged(("127.0.0.1", 10))
@@ -234,7 +235,7 @@
 
 
 def test_second_response_to_a_request_is_not_sent():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     answers = submit_request(dispatcher_actor)
     open_request = dispatcher_actor.open_requests[1]
     dispatcher_actor.respond(open_request, response.bad_gateway())
@@ -243,7 +244,7 @@
 
 
 def test_id_of_an_open_request_or_attempt_is_rejected_until_it_ends():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     first = submit_request(dispatcher_actor, 1, transaction=b"same")
     assert [a.status for a in submit_request(dispatcher_actor, 2, transaction=b"same")] == [409]
     (job,) = started_jobs(dispatcher_actor)
@@ -259,7 +260,7 @@
 
 
 def test_attempt_is_not_written_after_its_client_has_left():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     submit_request(dispatcher_actor)
     (job,) = started_jobs(dispatcher_actor)
     assert dispatcher_actor.preconditions_hold(job)
@@ -270,7 +271,7 @@
     )
 
 
-def build_front(server_talk, times=1):
+def build_front(server_handler, times=1):
     """A front between test doubles; its log goes to a pipe whose read end is returned."""
     chunk = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n"
     never = Event()
@@ -287,7 +288,7 @@
         sock.sendall(chunk % (len(event), event))
         never.wait()
 
-    entry = discovery_entry("s-1", Peer(*[server_talk] * times).address)
+    entry = discovery_entry("s-1", Peer(*[server_handler] * times).address)
     config = build_node_config(entry, discovery=Peer(discovery).address, platform=Peer(platform).address)
     reader, writer = os.pipe()
     program = front.Front(config, writer)
@@ -322,15 +323,15 @@
 def test_open_request_at_sigterm_is_answered_before_the_front_stops():
     request_received, may_answer = SimpleQueue(), Event()
 
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         request_received.put(1)
         may_answer.wait()
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 
-    program, running, reader = build_front(talk)
+    program, running, reader = build_front(handle_connection)
     client = socket.create_connection(program.client_listener.sock.getsockname())
-    client.sendall(REQ)
+    client.sendall(REQUEST)
     request_received.get()
     program.on_term()
     gevent.spawn_later(0.02, may_answer.set)
@@ -347,16 +348,16 @@
 def test_many_open_requests_and_a_partial_one_at_sigterm_are_all_answered():
     requests_received, may_answer, count = SimpleQueue(), Event(), 120
 
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         requests_received.put(1)
         may_answer.wait()
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 
-    program, running, reader = build_front(talk, count + 1)
+    program, running, reader = build_front(handle_connection, count + 1)
     address = program.client_listener.sock.getsockname()
     clients = [socket.create_connection(address) for _ in range(count + 1)]
-    requests = [REQ.replace(b"X-Txn: 1", b"X-Txn: t%d" % number) for number in range(count + 1)]
+    requests = [REQUEST.replace(b"X-Txn: 1", b"X-Txn: t%d" % number) for number in range(count + 1)]
     for client, text in zip(clients[1:], requests[1:], strict=True):
         client.sendall(text)
     clients[0].sendall(requests[0][:60])
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,3 +1,5 @@
+"""Parsing and writing of HTTP/1.1 messages."""
+
 import gevent
 import pytest
 from gevent import socket
--- a/tests/test_lists_first.py
+++ b/tests/test_lists_first.py
@@ -259,7 +259,7 @@
     )
 
 
-def test_front_held_for_300_ms_does_not_take_its_pause_for_silence(start_front):
+def test_300_ms_pause_of_the_front_is_not_taken_for_silence_of_discovery(start_front):
     front_setup = start_front()
     front_setup.open_connections(MANY_CLIENTS)
     front_setup.entries.append(discovery_entry("s-2", front_setup.second_server.address))
@@ -349,7 +349,7 @@
     assert front_setup.front.clock() - ended_at < 500.0
 
 
-def test_server_that_returns_under_its_id_gets_nothing_meant_for_the_one_before(start_front):
+def test_server_restarted_under_the_same_id_gets_no_attempts_meant_for_its_previous_start(start_front):
     front_setup = start_front()
     front_setup.open_connections(MANY_CLIENTS)
     front_setup.send_requests()
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -5,7 +5,7 @@
 import orjson
 import pytest
 from conftest import discovery_entry
-from test_front import AT, build_dispatcher, started_jobs, submit_request
+from test_front import SERVER_ADDRESS, build_dispatcher, started_jobs, submit_request
 
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.log import LEVEL_VARIABLE, Log, level_from_environment
@@ -16,7 +16,7 @@
 
 
 def test_attempt_log_names_request_server_and_age_of_the_list():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     dispatcher_actor.log = Log(Clock(), os.open(os.devnull, os.O_WRONLY), "debug")
     submit_request(dispatcher_actor, transaction=b"abc")
     (job,) = started_jobs(dispatcher_actor)
@@ -27,7 +27,7 @@
 
 
 def test_attempts_are_not_logged_at_the_default_level():
-    dispatcher_actor = build_dispatcher(discovery_entry("s-1", AT))
+    dispatcher_actor = build_dispatcher(discovery_entry("s-1", SERVER_ADDRESS))
     dispatcher_actor.log = Log(Clock(), os.open(os.devnull, os.O_WRONLY))
     submit_request(dispatcher_actor)
     (job,) = started_jobs(dispatcher_actor)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -80,7 +80,7 @@
     assert follower.message_received(1, 5006.0) == [FreshnessChanged(ListFreshness.FRESH, 5006.0, "told")]
 
 
-def test_a_service_that_refuses_for_two_seconds_is_called_a_few_times_and_soon_again():
+def test_calls_to_a_refusing_service_are_few_and_at_most_half_a_second_apart():
     follower, now, calls = fresh_follower(), 5000.0, 0
     follower.stream_ended(0, now, "reset")
     while now < 7000.0:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,11 +22,11 @@
 from myrtleroad.net.exchange_result import ExchangeFailure, ExchangeProgress, FailureCause, UpstreamResponse
 from myrtleroad.net.stream_poller import StreamPoller
 
-AT = ("127.0.0.1", 8443)
+SERVER_ADDRESS = ("127.0.0.1", 8443)
 FIRST_LIST = {
     "generation": 8,
     "reset": False,
-    "instances": [discovery_entry("s-1", AT, lifecycle="terminating")],
+    "instances": [discovery_entry("s-1", SERVER_ADDRESS, lifecycle="terminating")],
 }
 TWO_LISTS = (
     orjson.dumps(FIRST_LIST) + b"\n\n" + orjson.dumps(FIRST_LIST | {"generation": 9, "reset": True}) + b"\n"
@@ -109,7 +109,7 @@
     (server,) = first.servers
     assert (server.server_id, server.address, server.entry.status) == (
         "s-1",
-        AT,
+        SERVER_ADDRESS,
         interface.ServerStatus.DRAINING,
     )
     assert client.server_list.version == 9
@@ -138,11 +138,11 @@
 def test_watch_starts_from_the_known_version_and_its_end_is_reported():
     request_lines = []
 
-    def talk(sock):
+    def handle_connection(sock):
         request_lines.append(read_request(sock)[0].split(b"\r\n")[0])
         sock.sendall(CHUNKED + b"%x\r\n" % len(TWO_LISTS) + TWO_LISTS + b"\r\n")
 
-    client, delivered = build_discovery_client(Peer(talk).address)
+    client, delivered = build_discovery_client(Peer(handle_connection).address)
     running = gevent.spawn(client.run)
     messages = [delivered.get() for _ in range(4)]
     assert [
@@ -174,12 +174,12 @@
     "answer", [b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", b"what?\r\n\r\n", CHUNKED + b"3\r\n{]\n\r\n"]
 )
 def test_failed_watch_is_counted_once(answer):
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         sock.sendall(answer)
         sock.recv(1)
 
-    client, _ = build_discovery_client(Peer(talk).address)
+    client, _ = build_discovery_client(Peer(handle_connection).address)
     running = gevent.spawn(client.run)
     while not client.answered:
         gevent.sleep(0.001)
@@ -209,9 +209,13 @@
 )
 def test_undecodable_entry_drains_its_server_and_hides_no_other_entry(invalid):
     client, delivered = build_discovery_client()
-    entries = [discovery_entry("s-1", AT), discovery_entry("s-2", AT)]
+    entries = [discovery_entry("s-1", SERVER_ADDRESS), discovery_entry("s-2", SERVER_ADDRESS)]
     receive(client, start_following(client), orjson.dumps(FIRST_LIST | {"instances": entries}) + b"\n")
-    entries = [discovery_entry("s-1", AT) | invalid, discovery_entry("s-2", AT, lifecycle="terminating"), 7]
+    entries = [
+        discovery_entry("s-1", SERVER_ADDRESS) | invalid,
+        discovery_entry("s-2", SERVER_ADDRESS, lifecycle="terminating"),
+        7,
+    ]
     receive(
         client, client.streams[0], orjson.dumps(FIRST_LIST | {"generation": 9, "instances": entries}) + b"\n"
     )
@@ -274,7 +278,7 @@
     ] and client.server_list.source == 1
 
 
-def test_failing_new_address_keeps_the_old_watch_and_a_second_change_wins():
+def test_failing_new_address_keeps_the_old_watch_and_a_second_change_applies():
     client, _ = build_discovery_client()
     old = start_following(client)
     receive(client, old, list_lines(9))
@@ -373,11 +377,11 @@
 def test_each_vote_is_sent_as_a_form_on_its_own_connection():
     forms = []
 
-    def talk(sock):
+    def handle_connection(sock):
         forms.append(read_request(sock)[1])
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(VOTE_RESPONSE) + VOTE_RESPONSE)
 
-    peer, delivered = Peer(talk, talk), SimpleQueue()
+    peer, delivered = Peer(handle_connection, handle_connection), SimpleQueue()
     caster = platform.VoteCaster(
         build_node_config(platform=peer.address), Counters(), null_log, delivered.put
     )
@@ -392,11 +396,11 @@
 def test_after_an_address_change_votes_go_to_the_new_address():
     forms = []
 
-    def talk(sock):
+    def handle_connection(sock):
         forms.append(read_request(sock)[1])
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(VOTE_RESPONSE) + VOTE_RESPONSE)
 
-    peer, delivered = Peer(talk), SimpleQueue()
+    peer, delivered = Peer(handle_connection), SimpleQueue()
     caster = platform.VoteCaster(build_node_config(), Counters(), null_log, delivered.put)
     gevent.spawn(caster.run)
     caster.mailbox.put(node_config.AddressChanged(peer.address))
@@ -405,11 +409,13 @@
 
 
 def test_vote_without_a_response_may_have_been_executed():
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         sock.recv(1)
 
-    caster = platform.VoteCaster(build_node_config(platform=Peer(talk).address), Counters(), null_log, None)
+    caster = platform.VoteCaster(
+        build_node_config(platform=Peer(handle_connection).address), Counters(), null_log, None
+    )
     caster.timeout_s = 0.02
     assert caster.cast(interface.Vote(1, interface.Verdict.ON, 0)) == ExchangeFailure(
         ExchangeProgress.WRITTEN, FailureCause.TIMEOUT
@@ -417,7 +423,9 @@
 
 
 def test_node_configuration_is_decoded():
-    config = build_node_config(discovery_entry("s-1", AT, zone="there", startedAtMs=12, version_no=41))
+    config = build_node_config(
+        discovery_entry("s-1", SERVER_ADDRESS, zone="there", startedAtMs=12, version_no=41)
+    )
     assert (config.seed, config.sockets, config.connect_ms, config.idle_ms) == (
         0x8C1F30D27A5BE964,
         1024,
@@ -470,20 +478,20 @@
     )
     framed_body = body if framing == b"length" else b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body)
 
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         sock.sendall(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (framing_header, framed_body))
 
-    client, _ = build_discovery_client(Peer(talk).address)
+    client, _ = build_discovery_client(Peer(handle_connection).address)
     assert len(client.fetch_list(0).message.entries) == 1024
 
 
 def test_whole_list_above_the_size_limit_is_given_up():
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (stream.MAX_LINE_BYTES + 1))
 
-    client, _ = build_discovery_client(Peer(talk).address)
+    client, _ = build_discovery_client(Peer(handle_connection).address)
     assert client.fetch_list(0).message is None
 
 
@@ -498,13 +506,13 @@
 
 
 def test_truncated_whole_list_keeps_the_last_good_one():
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         sock.sendall(
             b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"generation":9,"reset":true,"instances":['
         )
 
-    client, delivered = build_discovery_client(Peer(talk).address)
+    client, delivered = build_discovery_client(Peer(handle_connection).address)
     fetched = client.fetch_list(0)
     client.process_other(fetched)
     assert fetched.message is None and fetched.error == "ended" and not delivered_of_type(delivered)
--- a/tests/test_machine.py
+++ b/tests/test_upstream_server.py
@@ -17,18 +17,18 @@
 
 
 def build_server(address, preconditions_hold=lambda job: True, limit=100):
-    ended = SimpleQueue()
+    results = SimpleQueue()
     args = (
         build_node_config(),
         Clock(),
         Counters(),
         upstream_server.ConnectionBudget(limit),
-        ended.put,
+        results.put,
         preconditions_hold,
     )
     actor = upstream_server.UpstreamServer(address, *args)
     gevent.spawn(actor.run)
-    return actor, ended
+    return actor, results
 
 
 def build_job(request_id=1, within_ms=2000.0):
@@ -37,26 +37,26 @@
     return upstream_server.AttemptJob(request_id, 0, 0, message, now, now + within_ms, ())
 
 
-def run_attempt(actor, ended, **changes):
+def run_attempt(actor, results, **changes):
     actor.mailbox.put(upstream_server.StartAttempt(build_job(**changes)))
-    return ended.get()
+    return results.get()
 
 
 def answer_with(*responses):
-    def talk(sock):
+    def handle_connection(sock):
         for answer in responses:
             read_request(sock)
             sock.sendall(answer)
         sock.recv(1)
 
-    return talk
+    return handle_connection
 
 
 def test_connection_is_reused_after_a_whole_response():
     peer = Peer(answer_with(OK, OK))
-    actor, ended = build_server(peer.address)
+    actor, results = build_server(peer.address)
     for request_id in (1, 2):
-        result = run_attempt(actor, ended, request_id=request_id)
+        result = run_attempt(actor, results, request_id=request_id)
         assert result.outcome == interface.Outcome.COMPLETED and b"".join(result.result.body) == b"hi"
         gevent.sleep(0)
     assert peer.connections == 1
@@ -64,11 +64,11 @@
 
 @pytest.mark.parametrize("cut", range(len(OK)))
 def test_response_cut_anywhere_counts_as_possibly_executed(cut):
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         sock.sendall(OK[:cut])
 
-    assert run_attempt(*build_server(Peer(talk).address)).outcome == interface.Outcome.RESET
+    assert run_attempt(*build_server(Peer(handle_connection).address)).outcome == interface.Outcome.RESET
 
 
 def test_refused_connection_counts_as_not_executed():
@@ -81,16 +81,16 @@
     def none_left(*args):
         raise OSError(errno.EMFILE, "too many open files")
 
-    actor, ended = build_server(Peer(answer_with(OK)).address)
+    actor, results = build_server(Peer(answer_with(OK)).address)
     monkeypatch.setattr(upstream_server.socket, "socket", none_left)
-    assert run_attempt(actor, ended).outcome == interface.Outcome.MOOT
+    assert run_attempt(actor, results).outcome == interface.Outcome.MOOT
 
 
 def test_second_response_behind_the_first_is_discarded():
     peer = Peer(answer_with(OK + OK.replace(b"hi", b"no")), answer_with(OK))
-    actor, ended = build_server(peer.address)
+    actor, results = build_server(peer.address)
     for request_id in (1, 2):
-        result = run_attempt(actor, ended, request_id=request_id)
+        result = run_attempt(actor, results, request_id=request_id)
         assert result.outcome == interface.Outcome.COMPLETED and b"".join(result.result.body) == b"hi"
         gevent.sleep(0)
     assert peer.connections == 2
@@ -105,10 +105,10 @@
         sock.sendall(OK.replace(b"hi", b"no"))
 
     peer = Peer(first, answer_with(OK))
-    actor, ended = build_server(peer.address)
-    assert run_attempt(actor, ended, within_ms=30.0).outcome == interface.Outcome.TIMEOUT
+    actor, results = build_server(peer.address)
+    assert run_attempt(actor, results, within_ms=30.0).outcome == interface.Outcome.TIMEOUT
     may_answer.set()
-    result = run_attempt(actor, ended, request_id=2)
+    result = run_attempt(actor, results, request_id=2)
     assert result.outcome == interface.Outcome.COMPLETED and b"".join(result.result.body) == b"hi"
     assert peer.connections == 2
 
@@ -119,11 +119,11 @@
         sock.sendall(OK)
 
     peer = Peer(first, answer_with(OK))
-    actor, ended = build_server(peer.address)
-    assert run_attempt(actor, ended).outcome == interface.Outcome.COMPLETED
+    actor, results = build_server(peer.address)
+    assert run_attempt(actor, results).outcome == interface.Outcome.COMPLETED
     while not actor.idle_connections or not upstream_server.http1.is_stale(actor.idle_connections[-1].sock):
         gevent.sleep(0.001)
-    assert run_attempt(actor, ended, request_id=2).outcome == interface.Outcome.COMPLETED
+    assert run_attempt(actor, results, request_id=2).outcome == interface.Outcome.COMPLETED
     assert peer.connections == 2
 
 
@@ -132,11 +132,11 @@
     # write.
     received = []
 
-    def talk(sock):
+    def handle_connection(sock):
         received.append(sock.recv(100))
 
-    actor, ended = build_server(Peer(talk).address, preconditions_hold=lambda job: False)
-    assert run_attempt(actor, ended).outcome == interface.Outcome.MOOT
+    actor, results = build_server(Peer(handle_connection).address, preconditions_hold=lambda job: False)
+    assert run_attempt(actor, results).outcome == interface.Outcome.MOOT
     gevent.sleep(0)
     actor.mailbox.put(upstream_server.ServerRemoved())
     while not received:
@@ -149,46 +149,46 @@
 
 
 def test_attempt_stopped_before_it_started_still_reports_its_end():
-    actor, ended = build_server(Peer(answer_with(OK)).address)
+    actor, results = build_server(Peer(answer_with(OK)).address)
     actor.mailbox.put(upstream_server.StartAttempt(build_job()))
     actor.mailbox.put(upstream_server.StopAttempt(1, 0))
-    assert ended.get().outcome in (interface.Outcome.CANCELLED, interface.Outcome.NOT_CONNECTED)
+    assert results.get().outcome in (interface.Outcome.CANCELLED, interface.Outcome.NOT_CONNECTED)
 
 
 def test_attempt_stopped_after_the_write_counts_as_possibly_executed():
     written = gevent.event.Event()
 
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         written.set()
         sock.recv(1)
 
-    actor, ended = build_server(Peer(talk).address)
+    actor, results = build_server(Peer(handle_connection).address)
     actor.mailbox.put(upstream_server.StartAttempt(build_job()))
     written.wait()
     actor.mailbox.put(upstream_server.StopAttempt(1, 0))
-    assert ended.get().outcome == interface.Outcome.CANCELLED
+    assert results.get().outcome == interface.Outcome.CANCELLED
 
 
 def test_server_restart_drops_the_old_connections():
     peer = Peer(answer_with(OK, OK), answer_with(OK))
-    actor, ended = build_server(peer.address)
-    run_attempt(actor, ended)
+    actor, results = build_server(peer.address)
+    run_attempt(actor, results)
     actor.mailbox.put(upstream_server.ServerAddressChanged(peer.address))
-    run_attempt(actor, ended, request_id=2)
+    run_attempt(actor, results, request_id=2)
     assert peer.connections == 2
 
 
 def test_connections_above_the_budget_are_not_kept_idle():
-    actor, ended = build_server(Peer(answer_with(OK)).address, limit=0)
-    assert run_attempt(actor, ended).outcome == interface.Outcome.COMPLETED
+    actor, results = build_server(Peer(answer_with(OK)).address, limit=0)
+    assert run_attempt(actor, results).outcome == interface.Outcome.COMPLETED
     gevent.sleep(0)
     assert actor.idle_connections == [] and actor.budget.in_use == 0
 
 
 def test_non_http_response_counts_as_possibly_executed():
-    def talk(sock):
+    def handle_connection(sock):
         read_request(sock)
         sock.sendall(b"garbage\r\n\r\n")
 
-    assert run_attempt(*build_server(Peer(talk).address)).outcome == interface.Outcome.RESET
+    assert run_attempt(*build_server(Peer(handle_connection).address)).outcome == interface.Outcome.RESET
