--- a/myrtleroad/membership/stream_follower.py
+++ b/myrtleroad/membership/stream_follower.py
@@ -253,7 +253,7 @@
             and newest.source == self.source
             and now < self.doubtful_at(newest)
         ):
-            self.next_open_at = None  # the stream that was in doubt is alive again
+            self.next_open_at = None  # the stream that was in doubt has sent bytes again
         if freshness == self.freshness:
             return []
         self.freshness = freshness
--- a/myrtleroad/net/operator_limits.py
+++ b/myrtleroad/net/operator_limits.py
@@ -18,8 +18,8 @@
 
 
 class OperatorLimits:
-    """The one place that knows every component that limits apply to. ``apply`` computes everything first, so
-    that an exception changes nothing, and then sets it without a greenlet switch."""
+    """Applies limits to every component that they concern. ``apply`` computes everything first, so that
+    an exception changes nothing, and then sets it without a greenlet switch."""
 
     def __init__(
         self,
--- a/myrtleroad/policy/balancer.py
+++ b/myrtleroad/policy/balancer.py
@@ -518,7 +518,7 @@
         added_load = self.size(server) / self.mean_size
         return (len(server.in_flight) + max(0.0, server.other_load) + added_load) * latency / size
 
-    # Most servers that are compared for an attempt. Bounds the work, and keeps fronts that know the same from
+    # Most servers that are compared for an attempt. Bounds the work, and keeps fronts with the same data from
     # all picking the same server.
     SAMPLE_SIZE = 12
 
--- a/myrtleroad/policy/trial.py
+++ b/myrtleroad/policy/trial.py
@@ -166,8 +166,8 @@
         )
         return float(ndtr(-max(slower, worse, min(worse_than_before, 4 * worse))))
 
-    # Margin against the time before the trial, as other troubles may have begun since; ``MARGIN`` is used
-    # while the front is overloaded.
+    # Margin against the time before the trial, as servers may have slowed since for other reasons; ``MARGIN``
+    # is used while the front is overloaded.
     MARGIN_OVER_TIME = 2.0
 
     def decide(
