--- a/tests/test_soak_calls.py
+++ b/tests/test_soak_calls.py
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture(autouse=True)
-def bound():
+def time_limit():
     with gevent.Timeout(LONGEST_S):
         yield
 
--- a/tests/test_soak_signals.py
+++ b/tests/test_soak_signals.py
@@ -15,7 +15,7 @@
 
 
 @pytest.fixture(autouse=True)
-def bound():
+def time_limit():
     with gevent.Timeout(LONGEST_S):
         yield
 
