--- a/myrtleroad/net/front.py
+++ b/myrtleroad/net/front.py
@@ -23,7 +23,7 @@
 )
 from myrtleroad.net.platform import StageUpdates, VoteCaster
 from myrtleroad.net.stream import FollowerContext
-from myrtleroad.startup import release_signals
+from myrtleroad.startup import unblock_signals
 
 LATE_CONNECTIONS_S = 0.45  # new connections keep arriving for up to 0.4 s after SIGTERM
 
@@ -56,7 +56,7 @@
         self.stop_event, self.was_ready = Event(), False
         self.front_file, self.config_versions = front_file, None
         if front_file is not None:
-            # Imported only if needed: without it a front uses no more memory than before.
+            # Imported only if needed: a front without the file needs neither these modules nor their memory.
             from myrtleroad.net import operator_limits
             from myrtleroad.net.front_file import control_address
 
@@ -84,7 +84,7 @@
         gevent.signal_handler(signal.SIGINT, self.on_term)
         gevent.signal_handler(signal.SIGUSR1, self.log_counters)
         gevent.signal_handler(signal.SIGHUP, self.reload)
-        release_signals()
+        unblock_signals()
         self.log("start", name=self.node_config.name, machines=len(self.node_config.initial_list.servers))
         self.dispatcher.start()
         for actor in (
--- a/tests/test_lists_first.py
+++ b/tests/test_lists_first.py
@@ -16,7 +16,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.net import dispatcher, front, upstream_server
 from myrtleroad.net.clock import Clock
 from myrtleroad.net.counters import Counters
@@ -255,11 +255,11 @@
     assert (
         attempts[0] == 0
         and attempts[1] > 0
-        and front_setup.front.discovery.stream_follower.freshness == i.ListFreshness.FRESH
+        and front_setup.front.discovery.stream_follower.freshness == interface.ListFreshness.FRESH
     )
 
 
-def test_front_held_for_300_ms_does_not_take_its_pause_for_silence(start_front):
+def test_300_ms_pause_of_the_front_is_not_taken_for_silence_of_discovery(start_front):
     front_setup = start_front()
     front_setup.open_connections(MANY_CLIENTS)
     front_setup.entries.append(discovery_entry("s-2", front_setup.second_server.address))
@@ -349,7 +349,7 @@
     assert front_setup.front.clock() - ended_at < 500.0
 
 
-def test_server_that_returns_under_its_id_gets_nothing_meant_for_the_one_before(start_front):
+def test_server_restarted_under_the_same_id_gets_no_attempts_meant_for_its_previous_start(start_front):
     front_setup = start_front()
     front_setup.open_connections(MANY_CLIENTS)
     front_setup.send_requests()
@@ -375,7 +375,7 @@
     gevent.sleep(0.001)
     answers = []
     for number in range(1000):
-        request = i.Request(number, 0, 0, None, dispatcher_actor.clock() + 1000.0, 0.0, False)
+        request = interface.Request(number, 0, 0, None, dispatcher_actor.clock() + 1000.0, 0.0, False)
         dispatcher_actor.mailbox.put(
             dispatcher.RequestReceived(
                 request,
