--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.policy.balancer import Balancer
 from myrtleroad.request_coroutine import RequestCoroutine
 
@@ -37,20 +37,22 @@
 ONE_WAY_DELAY_MS, CONNECT_TIMEOUT_MS, HANDSHAKE_WORK_MS = 0.3, 250.0, 1.0
 ROUTE_WORK = ((250.0, 0.68), (100.0, 0.32))  # for each route: mean work in ms, share of the requests
 ROUTES = (
-    i.Route(i.RetrySafety.RETRIABLE, i.DedupScope.ALL, 0.0, 2000.0, 6000.0, 2.0, 0.0),
-    i.Route(i.RetrySafety.NON_RETRIABLE, i.DedupScope.ALL, 0.0, 750.0, 2000.0, 3.0, 0.2),
+    interface.Route(interface.RetrySafety.RETRIABLE, interface.DedupScope.ALL, 0.0, 2000.0, 6000.0, 2.0, 0.0),
+    interface.Route(
+        interface.RetrySafety.NON_RETRIABLE, interface.DedupScope.ALL, 0.0, 750.0, 2000.0, 3.0, 0.2
+    ),
 )
 
 
-def build_settings(fronts: int, quota_per_s: float, zone: int) -> i.Settings:
+def build_settings(fronts: int, quota_per_s: float, zone: int) -> interface.Settings:
     """Settings of a front. ``quota_per_s``: the request quota of all tenants together."""
     stage_caps, votes_to_advance, votes_to_roll_back = (
         (0.05, 0.4, 1.0),
         math.ceil(0.4 * fronts),
         math.ceil(0.08 * fronts),
     )
-    vote_mode, max_calls_per_s = i.VoteMode.COUNT, max(10.0, fronts / 12)
-    rollout = i.Rollout(
+    vote_mode, max_calls_per_s = interface.VoteMode.COUNT, max(10.0, fronts / 12)
+    rollout = interface.Rollout(
         vote_mode,
         votes_to_advance,
         votes_to_roll_back,
@@ -66,14 +68,14 @@
         False,
         0.0,
     )
-    return i.Settings(
+    return interface.Settings(
         balancers=fronts,
         zone=zone,
         routes=ROUTES,
-        tenants=tuple(i.Tenant(share, share * quota_per_s) for share in (0.4, 0.3, 0.3)),
+        tenants=tuple(interface.Tenant(share, share * quota_per_s) for share in (0.4, 0.3, 0.3)),
         over_share_benefit=0.2,
         benefit_by_work=False,
-        server_rules=i.ServerRules(
+        server_rules=interface.ServerRules(
             DRAIN_GRACE_MS,
             SLOW_START_MS,
             SLOW_START_MIN_SHARE,
@@ -104,7 +106,7 @@
     zone: int
     max_connections: int
     cores_free_at: list[float]  # when each core becomes free, as a heap
-    entry: i.ServerEntry
+    entry: interface.ServerEntry
     request_count: int = 0  # requests that wait or are being executed
     open_attempts: dict[int, tuple] = field(default_factory=dict)  # an entry goes as its attempt ends
     connections: int = 0
@@ -160,7 +162,7 @@
     # For each server, when each idle connection became idle.
     idle_connections: dict[int, list[float]] = field(default_factory=dict)
     # For each server, the status that the front was last notified of, and when.
-    known_statuses: dict[int, tuple[i.ServerStatus, float]] = field(default_factory=dict)
+    known_statuses: dict[int, tuple[interface.ServerStatus, float]] = field(default_factory=dict)
     # Times of attempts on the trial build and of requests, within the exposure window.
     recent_trial_attempts: deque[float] = field(default_factory=deque)
     recent_requests: deque[float] = field(default_factory=deque)
@@ -179,8 +181,15 @@
         self.servers = []
         for index in range(servers):
             cores, speed = (3, uniform(0.85, 1.1)) if index % 2 else (4, uniform(0.64, 0.86))
-            entry = i.ServerEntry(
-                index, i.ServerStatus.IN_SERVICE, 1, index % zones, index // 6, index % 2, float(cores), 0.0
+            entry = interface.ServerEntry(
+                index,
+                interface.ServerStatus.IN_SERVICE,
+                1,
+                index % zones,
+                index // 6,
+                index % 2,
+                float(cores),
+                0.0,
             )
             max_connections = max(40, fronts // 2) if servers > 20 else 2 * fronts
             self.servers.append(
@@ -212,12 +221,16 @@
         Clients send requests for ``duration_ms``; the run goes on for 8 s, so that all of them end."""
         self.duration_ms = duration_ms
         for front in self.fronts:
-            front.balancer.update_stage(self.stage_update(1, i.RolloutPhase.RELEASED, 0.0), 0.0)
+            front.balancer.update_stage(self.stage_update(1, interface.RolloutPhase.RELEASED, 0.0), 0.0)
             entries = [
-                i.ServerEntry(*(getattr(server.entry, name) for name in i.ServerEntry.__slots__))
+                interface.ServerEntry(
+                    *(getattr(server.entry, name) for name in interface.ServerEntry.__slots__)
+                )
                 for server in self.servers
             ]
-            front.balancer.update_server_list(i.ServerListUpdate(i.ListKind.REMEMBERED, entries), 0.0)
+            front.balancer.update_server_list(
+                interface.ServerListUpdate(interface.ListKind.REMEMBERED, entries), 0.0
+            )
             self.schedule(self.random.uniform(0, 100), self.wake_front, front)
         self.arrive(FrontSampler(self.fronts))
         getattr(self, f"schedule_{scenario}")()
@@ -282,7 +295,7 @@
             self.schedule(
                 500.0,
                 front.balancer.update_stage,
-                self.stage_update(2, i.RolloutPhase.ON_TRIAL, self.trial_cap),
+                self.stage_update(2, interface.RolloutPhase.ON_TRIAL, self.trial_cap),
                 500.0,
             )
 
@@ -311,7 +324,7 @@
         )
         for attempt_id, context in server.open_attempts.items():
             self.schedule(
-                self.now + ONE_WAY_DELAY_MS, self.end_attempt, attempt_id, *context, i.Outcome.RESET
+                self.now + ONE_WAY_DELAY_MS, self.end_attempt, attempt_id, *context, interface.Outcome.RESET
             )
         for front in self.fronts:
             front.idle_connections.pop(server.index, None)
@@ -319,12 +332,12 @@
     def start_server(self, server: SimulatedServer) -> None:
         """A server that has ended starts again, cold."""
         server.running, server.started_at, server.cores_free_at = True, self.now, [self.now] * server.cores
-        server.entry.started_at, server.entry.status = self.now, i.ServerStatus.IN_SERVICE
+        server.entry.started_at, server.entry.status = self.now, interface.ServerStatus.IN_SERVICE
         self.announce_change(server, 0.0)
 
     def drain_server(self, server: SimulatedServer, extra_delay_ms: float) -> None:
         """A server announces that it drains, ends and starts again. Its announcement has an extra delay."""
-        server.entry.status = i.ServerStatus.DRAINING
+        server.entry.status = interface.ServerStatus.DRAINING
         self.announce_change(server, extra_delay_ms)
         self.schedule(self.now + extra_delay_ms + 3000, self.crash_server, server)
         self.schedule(self.now + extra_delay_ms + 4500, self.start_server, server)
@@ -333,35 +346,43 @@
         """Sends a server's entry to all fronts, each with a delay of its own."""
         for front in self.fronts:
             at = self.now + extra_delay_ms + self.random.uniform(*LIST_DELAY_MS)
-            entry = i.ServerEntry(*(getattr(server.entry, name) for name in i.ServerEntry.__slots__))
+            entry = interface.ServerEntry(
+                *(getattr(server.entry, name) for name in interface.ServerEntry.__slots__)
+            )
             self.schedule(at, self.deliver_entry, front, entry)
 
-    def deliver_entry(self, front: SimulatedFront, entry: i.ServerEntry) -> None:
+    def deliver_entry(self, front: SimulatedFront, entry: interface.ServerEntry) -> None:
         """A front receives the changed entry of a server."""
         front.known_statuses[entry.server] = (entry.status, self.now)
-        front.balancer.update_server_list(i.ServerListUpdate(i.ListKind.CHANGES, [entry]), self.now)
+        front.balancer.update_server_list(
+            interface.ServerListUpdate(interface.ListKind.CHANGES, [entry]), self.now
+        )
 
     def restart_front(self, front: SimulatedFront) -> None:
         """A front is killed and starts again: its open requests are lost and no longer expect an answer."""
         old_balancer = front.balancer
         front.balancer = Balancer(old_balancer.settings, self.random.getrandbits(40), self.now)
-        front.balancer.update_stage(self.stage_update(1, i.RolloutPhase.RELEASED, 0.0), self.now)
+        front.balancer.update_stage(self.stage_update(1, interface.RolloutPhase.RELEASED, 0.0), self.now)
         entries = [
-            i.ServerEntry(*(getattr(server.entry, name) for name in i.ServerEntry.__slots__))
+            interface.ServerEntry(*(getattr(server.entry, name) for name in interface.ServerEntry.__slots__))
             for server in self.servers
         ]
-        front.balancer.update_server_list(i.ServerListUpdate(i.ListKind.REMEMBERED, entries), self.now)
+        front.balancer.update_server_list(
+            interface.ServerListUpdate(interface.ListKind.REMEMBERED, entries), self.now
+        )
         for server_index, idle_since in front.idle_connections.items():
             self.servers[server_index].connections -= len(idle_since)
         front.idle_connections = {}
 
-    def stage_update(self, build: int, phase: i.RolloutPhase, cap: float) -> i.StageUpdate:
+    def stage_update(self, build: int, phase: interface.RolloutPhase, cap: float) -> interface.StageUpdate:
         """A stage update of the platform."""
-        return i.StageUpdate(i.Outcome.COMPLETED, False, build, 0, phase, cap, 0.0)
+        return interface.StageUpdate(interface.Outcome.COMPLETED, False, build, 0, phase, cap, 0.0)
 
     def wake_front(self, front: SimulatedFront) -> None:
         """Wakes a front's balancer and schedules the wake-up that it requests."""
-        wake_times = [action.at for action in front.balancer.wake(self.now) if isinstance(action, i.WakeAt)]
+        wake_times = [
+            action.at for action in front.balancer.wake(self.now) if isinstance(action, interface.WakeAt)
+        ]
         if self.now < self.duration_ms + 7000:
             self.schedule(min(wake_times), self.wake_front, front)
 
@@ -381,7 +402,7 @@
         self.counts["requests"] += 1
         self.counts["offered_benefit"] += route.benefit
         tenant = 0 if (draw := self.random.random()) < 0.4 else 1 if draw < 0.7 else 2
-        request = i.Request(
+        request = interface.Request(
             self.counts["requests"], route_index, tenant, None, self.now + route.timeout_ms, 0.0, False
         )
         front.recent_requests.append(self.now)
@@ -393,21 +414,21 @@
         self,
         front: SimulatedFront,
         balancer: Balancer,
-        request: i.Request,
+        request: interface.Request,
         coroutine: RequestCoroutine,
         work_ms: float,
-        ended: i.AttemptEnded | None,
+        ended: interface.AttemptEnded | None,
     ):
         """Performs a request's next actions. ``ended`` is None at its start."""
         for action in coroutine.resume(ended, self.now):
             match action:
-                case i.SendAttempt(server_index, timeout_ms):
+                case interface.SendAttempt(server_index, timeout_ms):
                     self.send_attempt(
                         front, balancer, request, coroutine, work_ms, self.servers[server_index], timeout_ms
                     )
-                case i.Shed() | i.Fail():
+                case interface.Shed() | interface.Fail():
                     self.counts["answered"] += 1
-                    self.counts["shed" if isinstance(action, i.Shed) else "errored"] += 1
+                    self.counts["shed" if isinstance(action, interface.Shed) else "errored"] += 1
                     if ended is None:
                         self.counts["rejected_without_attempt"] += 1
                     coroutine.close()
@@ -434,7 +455,7 @@
         if server.unreachable:
             # Packets are dropped: a new connection is never established, and a request on an existing one is
             # never answered.
-            outcome = i.Outcome.TIMEOUT if idle_since else i.Outcome.NOT_CONNECTED
+            outcome = interface.Outcome.TIMEOUT if idle_since else interface.Outcome.NOT_CONNECTED
             self.schedule(
                 now + (timeout_ms if idle_since else min(timeout_ms, CONNECT_TIMEOUT_MS)),
                 self.end_attempt,
@@ -445,7 +466,11 @@
             return
         if not server.running or (not idle_since and server.connections >= server.max_connections):
             self.schedule(
-                now + ONE_WAY_DELAY_MS, self.end_attempt, attempt_id, *context, i.Outcome.NOT_CONNECTED
+                now + ONE_WAY_DELAY_MS,
+                self.end_attempt,
+                attempt_id,
+                *context,
+                interface.Outcome.NOT_CONNECTED,
             )
             return
         extra_work_ms = 0.0
@@ -461,9 +486,9 @@
         self.longest_queue = max(self.longest_queue, server.request_count)
         self.schedule(finished_at, self.finish_work, server, server.restarts)
         outcome, ends_at = (
-            (i.Outcome.TIMEOUT, now + timeout_ms)
+            (interface.Outcome.TIMEOUT, now + timeout_ms)
             if finished_at - now > timeout_ms
-            else (i.Outcome.COMPLETED, finished_at + ONE_WAY_DELAY_MS)
+            else (interface.Outcome.COMPLETED, finished_at + ONE_WAY_DELAY_MS)
         )
         self.schedule(ends_at, self.end_attempt, attempt_id, *context, outcome)
 
@@ -483,7 +508,7 @@
         server: SimulatedServer,
         attempt_number,
         sent_at,
-        outcome: i.Outcome,
+        outcome: interface.Outcome,
     ) -> None:
         """An attempt ends: the request is resumed, or counted if it is completed."""
         if server.open_attempts.pop(attempt_id, None) is None:
@@ -494,16 +519,16 @@
                 self.counts["answered"] += 1  # its front was killed, so no answer is expected
                 self.counts["lost_with_front"] += 1
             return
-        if outcome == i.Outcome.COMPLETED:
+        if outcome == interface.Outcome.COMPLETED:
             front.idle_connections.setdefault(server.index, []).append(self.now)
             self.schedule(
                 self.now + 0.8 * IDLE_TIMEOUT_MS, self.close_idle_connection, front, server, self.now
             )
-        elif outcome == i.Outcome.TIMEOUT:
+        elif outcome == interface.Outcome.TIMEOUT:
             server.connections -= 1
         self.counts[f"attempt_{outcome.name.lower()}"] += 1
-        duration_ms, completed = self.now - sent_at, outcome == i.Outcome.COMPLETED
-        ended = i.AttemptEnded(
+        duration_ms, completed = self.now - sent_at, outcome == interface.Outcome.COMPLETED
+        ended = interface.AttemptEnded(
             server.index,
             attempt_number,
             outcome,
@@ -534,9 +559,9 @@
 
     def check_rules(self, front: SimulatedFront, server: SimulatedServer) -> None:
         """Counts an attempt that breaks the rules on sending, given what the front was notified of."""
-        status, notified_at = front.known_statuses.get(server.index, (i.ServerStatus.IN_SERVICE, 0.0))
+        status, notified_at = front.known_statuses.get(server.index, (interface.ServerStatus.IN_SERVICE, 0.0))
         self.counts["broken_drain"] += (
-            status != i.ServerStatus.IN_SERVICE and self.now - notified_at > DRAIN_GRACE_MS
+            status != interface.ServerStatus.IN_SERVICE and self.now - notified_at > DRAIN_GRACE_MS
         )
         if server.entry.build == 2:
             front.recent_trial_attempts.append(self.now)
--- a/myrtleroad/config/narrowing.py
+++ b/myrtleroad/config/narrowing.py
@@ -3,13 +3,13 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.config.rules import EffectiveLimits
 
 
 def narrowed_settings(
-    settings: i.Settings, limits: EffectiveLimits, routes: Iterable[str], tenants: Iterable[str]
-) -> i.SettingsNarrowed:
+    settings: interface.Settings, limits: EffectiveLimits, routes: Iterable[str], tenants: Iterable[str]
+) -> interface.SettingsNarrowed:
     """Returns narrowed settings. ``routes`` and ``tenants`` are the names in the order of the settings.
     The result never allows more than the settings do."""
     narrowed_routes = []
@@ -28,7 +28,7 @@
         replace(tenant, quota_per_s=min(tenant.quota_per_s, limits.tenants[name]["rate"].value))
         for tenant, name in zip(settings.tenants, tenants, strict=True)
     ]
-    return i.SettingsNarrowed(
+    return interface.SettingsNarrowed(
         replace(settings, routes=tuple(narrowed_routes), tenants=tuple(narrowed_tenants)),
         limits.trial_share.value,
     )
--- a/myrtleroad/drill/codec.py
+++ b/myrtleroad/drill/codec.py
@@ -5,18 +5,18 @@
 import json
 from typing import Any
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.settings import LOAD_COLUMN, NS_PER_MS, ns_to_ms
 
 SERVER_STATUSES = {
-    "in_service": i.ServerStatus.IN_SERVICE,
-    "terminating": i.ServerStatus.DRAINING,
-    "terminated": i.ServerStatus.GONE,
+    "in_service": interface.ServerStatus.IN_SERVICE,
+    "terminating": interface.ServerStatus.DRAINING,
+    "terminated": interface.ServerStatus.GONE,
 }
 LIST_KINDS = {
-    "Partial": i.ListKind.CHANGES,
-    "Complete": i.ListKind.WHOLE,
-    "Persisted": i.ListKind.REMEMBERED,
+    "Partial": interface.ListKind.CHANGES,
+    "Complete": interface.ListKind.WHOLE,
+    "Persisted": interface.ListKind.REMEMBERED,
 }
 LIST_UNAVAILABLE = "Error"  # kind of a DISCOVERY event that carries no list: the call for it failed
 
@@ -46,9 +46,9 @@
     return json.dumps(message, separators=(",", ":"))
 
 
-def decode_server_entry(entry: dict[str, Any], server: int) -> i.ServerEntry:
+def decode_server_entry(entry: dict[str, Any], server: int) -> interface.ServerEntry:
     """Decodes one entry of a server list. ``server`` is the index that the front assigned to it."""
-    return i.ServerEntry(
+    return interface.ServerEntry(
         server=server,
         status=SERVER_STATUSES[entry.get("status", "in_service")],
         build=int(entry.get("release", 0)),
@@ -65,9 +65,9 @@
     return (event.get("usage") or {}).get(LOAD_COLUMN)
 
 
-def decode_request(event: dict[str, Any], now: float) -> i.Request:
+def decode_request(event: dict[str, Any], now: float) -> interface.Request:
     """Decodes a client's request. Its deadline is sent as the time that remains from ``now`` (ms)."""
-    return i.Request(
+    return interface.Request(
         id=event["job"],
         route=event.get("service", 0),
         tenant=event.get("client_group"),
@@ -78,10 +78,10 @@
     )
 
 
-def decode_attempt_ended(event: dict[str, Any], server: int) -> i.AttemptEnded:
+def decode_attempt_ended(event: dict[str, Any], server: int) -> interface.AttemptEnded:
     """Decodes the end of an attempt at ``server``."""
-    outcome, duration_ms = i.Outcome(event["how"]), ns_to_ms(event.get("cost_time"))
-    return i.AttemptEnded(
+    outcome, duration_ms = interface.Outcome(event["how"]), ns_to_ms(event.get("cost_time"))
+    return interface.AttemptEnded(
         server,
         event.get("seq_no", 0),
         outcome,
@@ -91,22 +91,22 @@
     )
 
 
-def decode_stage_update(event: dict[str, Any]) -> i.StageUpdate:
+def decode_stage_update(event: dict[str, Any]) -> interface.StageUpdate:
     """Decodes a stage update of the platform."""
-    return i.StageUpdate(
-        outcome=i.Outcome(event["how"]),
+    return interface.StageUpdate(
+        outcome=interface.Outcome(event["how"]),
         answers_vote=event.get("reason", 0) == 1,
         build=event.get("build_no", 0),
         stage=event.get("wave", 0),
-        phase=i.RolloutPhase(event.get("where_at", 0)),
+        phase=interface.RolloutPhase(event.get("where_at", 0)),
         cap=float(event.get("ceiling", 0.0)),
         stage_age_ms=ns_to_ms(event.get("old")),
     )
 
 
-def decode_attempt_counts(event: dict[str, Any]) -> i.AttemptCounts:
+def decode_attempt_counts(event: dict[str, Any]) -> interface.AttemptCounts:
     """Decodes the platform's attempt counts for one build and route."""
-    return i.AttemptCounts(
+    return interface.AttemptCounts(
         event.get("build_no", 0),
         event.get("service", 0),
         event.get("n", 0),
@@ -116,15 +116,15 @@
     )
 
 
-def decode_bad_response(event: dict[str, Any], server: int) -> i.BadResponseReported:
+def decode_bad_response(event: dict[str, Any], server: int) -> interface.BadResponseReported:
     """Decodes the report of a bad response from ``server``."""
-    return i.BadResponseReported(server, event.get("service", 0), ns_to_ms(event.get("old")))
+    return interface.BadResponseReported(server, event.get("service", 0), ns_to_ms(event.get("old")))
 
 
-def decode_probe_ended(event: dict[str, Any], server: int) -> i.ProbeEnded:
+def decode_probe_ended(event: dict[str, Any], server: int) -> interface.ProbeEnded:
     """Decodes the end of a probe of ``server``."""
-    return i.ProbeEnded(
-        server, i.Outcome(event["how"]), ns_to_ms(event.get("cost_time")), decode_reported_load(event)
+    return interface.ProbeEnded(
+        server, interface.Outcome(event["how"]), ns_to_ms(event.get("cost_time")), decode_reported_load(event)
     )
 
 
@@ -135,37 +135,37 @@
 
 
 def encode_action(
-    action: i.Action, server_id: str | None, request_id: int | None, cookie: int = 0
+    action: interface.Action, server_id: str | None, request_id: int | None, cookie: int = 0
 ) -> dict[str, Any]:
     """Encodes one action. The host adds the ``front_id`` of the front that it belongs to.
 
     ``server_id`` is the simulator's name of the server of an action that has one, and ``cookie`` comes back
     in the event of the timer that the action sets. Raises ``TypeError`` on an unknown action."""
     match action:
-        case i.SendAttempt():
+        case interface.SendAttempt():
             within = max(1, ms_to_ns(action.timeout_ms))
             return {"cmd": "ATTEMPT", "job": request_id, "within": within, "machine": server_id}
-        case i.CancelAttempt():
+        case interface.CancelAttempt():
             return {"cmd": "WITHDRAW", "job": request_id, "seq_no": action.attempt_number}
-        case i.Shed():
+        case interface.Shed():
             return {"cmd": "BOUNCE", "job": request_id, "pause": ms_to_ns(action.retry_after_ms)}
-        case i.Fail():
+        case interface.Fail():
             return {"cmd": "ERROR", "job": request_id}
-        case i.Vote():
+        case interface.Vote():
             vote = {"build_no": action.build, "reason": int(action.verdict), "wave": action.stage}
             return {"cmd": "OPINION", **vote}
-        case i.WatchServerList():
+        case interface.WatchServerList():
             return {"cmd": "SUBSCRIBE", "on": action.enabled}
-        case i.FetchServerList():
+        case interface.FetchServerList():
             return {"cmd": "FETCH"}
-        case i.ProbeServer():
+        case interface.ProbeServer():
             return {"cmd": "SAMPLE", "machine": server_id}
-        case i.CloseIdleConnections():
+        case interface.CloseIdleConnections():
             return {"cmd": "CLOSE", "machine": server_id}
-        case i.SendToPeer():
+        case interface.SendToPeer():
             return {"cmd": "SIGNAL", "neighbour_id": action.peer, "raw": action.payload.hex()}
-        case i.WakeAt():
+        case interface.WakeAt():
             return {"cmd": "SCHEDULE", "due_at": ms_to_ns(action.at), "cookie": cookie}
-        case i.LogMessage():
+        case interface.LogMessage():
             return {"cmd": "WRITE_LOG", "note_text": action.text}
     raise TypeError(f"no such action: {action!r}")
--- a/myrtleroad/drill/host.py
+++ b/myrtleroad/drill/host.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.drill import codec
 from myrtleroad.membership.call_backoff import CallBackoff, FollowerSettings, ServiceKind
 from myrtleroad.policy.balancer import Balancer
@@ -83,7 +83,7 @@
                 if event["cookie"] == WAKE_COOKIE:
                     self.perform(balancer.wake(now))
                 elif event["cookie"] == LIST_CALL_COOKIE:
-                    self.perform([i.WatchServerList()])
+                    self.perform([interface.WatchServerList()])
                 elif timer := self.timers.pop(event["cookie"], None):
                     request, wait_number = timer
                     if request.wait_number == wait_number:
@@ -99,13 +99,13 @@
                     self.schedule_list_call(now)
                     return
                 kind = codec.LIST_KINDS[event["kind"]]
-                if kind != i.ListKind.REMEMBERED:
+                if kind != interface.ListKind.REMEMBERED:
                     self.list_received_at = now if self.list_received_at is None else self.list_received_at
                 entries = [
                     codec.decode_server_entry(entry, self.server_index(entry["machine"]))
                     for entry in lists[event.get("ref", 0)]
                 ]
-                self.perform(balancer.update_server_list(i.ServerListUpdate(kind, entries), now))
+                self.perform(balancer.update_server_list(interface.ServerListUpdate(kind, entries), now))
             case "SHIP_STATE":
                 self.perform(balancer.update_stage(codec.decode_stage_update(event), now))
             case "BAD_ANSWER":
@@ -123,7 +123,7 @@
         """Performs the first actions of a new front."""
         self.perform(self.balancer.wake(now))
         if self.requests_list:
-            self.perform([i.WatchServerList()])
+            self.perform([interface.WatchServerList()])
 
     def schedule_list_call(self, now: float) -> None:
         """Schedules the next call for the server list after the previous one has failed or ended."""
@@ -131,7 +131,10 @@
         self.list_received_at = None
         self.add_message(
             codec.encode_action(
-                i.WakeAt(now + self.list_backoff.next_pause_ms(lasted_ms)), None, None, LIST_CALL_COOKIE
+                interface.WakeAt(now + self.list_backoff.next_pause_ms(lasted_ms)),
+                None,
+                None,
+                LIST_CALL_COOKIE,
             )
         )
 
@@ -140,12 +143,12 @@
         request.close()
         del self.open_requests[request.request_id]
 
-    def perform(self, actions: Iterable[i.Action]) -> None:
+    def perform(self, actions: Iterable[interface.Action]) -> None:
         """Adds the messages of actions that belong to no request."""
         for action in actions:
             server_id = (
                 self.server_ids[action.server]
-                if isinstance(action, i.ProbeServer | i.CloseIdleConnections)
+                if isinstance(action, interface.ProbeServer | interface.CloseIdleConnections)
                 else None
             )
             self.add_message(codec.encode_action(action, server_id, None, WAKE_COOKIE))
@@ -155,18 +158,20 @@
         message["front_id"] = self.front_id
         self.messages.append(message)
 
-    def resume_request(self, request: RequestCoroutine, result: i.AttemptEnded | None, now: float) -> None:
+    def resume_request(
+        self, request: RequestCoroutine, result: interface.AttemptEnded | None, now: float
+    ) -> None:
         """Resumes a request and sets the timer of its next wait. ``result`` is None after a timeout and at
         the start."""
         for action in request.resume(result, now):
-            server_id = self.server_ids[action.server] if isinstance(action, i.SendAttempt) else None
+            server_id = self.server_ids[action.server] if isinstance(action, interface.SendAttempt) else None
             self.add_message(codec.encode_action(action, server_id, request.request_id))
         if request.finished:
             del self.open_requests[request.request_id]
         elif request.max_wait_ms is not None:
             self.timers[self.next_cookie] = (request, request.wait_number)
             self.add_message(
-                codec.encode_action(i.WakeAt(now + request.max_wait_ms), None, None, self.next_cookie)
+                codec.encode_action(interface.WakeAt(now + request.max_wait_ms), None, None, self.next_cookie)
             )
             self.next_cookie += 1
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.drill import __main__ as drill
 from myrtleroad.drill import codec
 
@@ -16,11 +16,11 @@
         "boot_time": 6_100_500_000,
         "machine": "m.a",
     }
-    assert codec.decode_server_entry(entry, 3) == i.ServerEntry(
-        3, i.ServerStatus.IN_SERVICE, 4, 1, 0, 1, 1.5, 6100.5
+    assert codec.decode_server_entry(entry, 3) == interface.ServerEntry(
+        3, interface.ServerStatus.IN_SERVICE, 4, 1, 0, 1, 1.5, 6100.5
     )
     request = codec.decode_request({"job": 9, "service": 1, "grace": 2_500_000, "affinity": "k"}, 1.0)
-    assert request == i.Request(9, 1, None, "k", 3.5, 0.0, False)
+    assert request == interface.Request(9, 1, None, "k", 3.5, 0.0, False)
 
 
 def test_attempt_end_and_stage_update_are_decoded():
@@ -32,7 +32,9 @@
         "seq_no": 2,
         "usage": {"active": 7},
     }
-    assert codec.decode_attempt_ended(event, 5) == i.AttemptEnded(5, 2, i.Outcome.FULL, 1.5, 7, False)
+    assert codec.decode_attempt_ended(event, 5) == interface.AttemptEnded(
+        5, 2, interface.Outcome.FULL, 1.5, 7, False
+    )
     event = {
         "build_no": 42,
         "wave": 2,
@@ -42,31 +44,36 @@
         "ceiling": 0.25,
         "old": 1_000_000,
     }
-    assert codec.decode_stage_update(event) == i.StageUpdate(
-        i.Outcome.COMPLETED, True, 42, 2, i.RolloutPhase.GOING_BACK, 0.25, 1.0
+    assert codec.decode_stage_update(event) == interface.StageUpdate(
+        interface.Outcome.COMPLETED, True, 42, 2, interface.RolloutPhase.GOING_BACK, 0.25, 1.0
     )
 
 
 def test_attempt_counts_bad_response_and_probe_are_decoded():
     event = {"build_no": 2, "service": 1, "n": 5, "errors": 2, "cost_time": 1_000_000, "old": 2_000_000}
-    assert codec.decode_attempt_counts(event) == i.AttemptCounts(2, 1, 5, 2, 1.0, 2.0)
-    assert codec.decode_bad_response({"old": 1_000_000, "service": 1}, 4) == i.BadResponseReported(4, 1, 1.0)
-    assert codec.decode_probe_ended({"how": 4, "cost_time": 500_000}, 4) == i.ProbeEnded(
-        4, i.Outcome.TIMEOUT, 0.5, None
+    assert codec.decode_attempt_counts(event) == interface.AttemptCounts(2, 1, 5, 2, 1.0, 2.0)
+    assert codec.decode_bad_response({"old": 1_000_000, "service": 1}, 4) == interface.BadResponseReported(
+        4, 1, 1.0
+    )
+    assert codec.decode_probe_ended({"how": 4, "cost_time": 500_000}, 4) == interface.ProbeEnded(
+        4, interface.Outcome.TIMEOUT, 0.5, None
     )
 
 
 @pytest.mark.parametrize(
     "action, encoded",
     [
-        (i.SendAttempt(0, 1.5), {"cmd": "ATTEMPT", "job": 8, "within": 1_500_000, "machine": "m.a"}),
-        (i.CancelAttempt(2), {"cmd": "WITHDRAW", "job": 8, "seq_no": 2}),
-        (i.Shed(0.5), {"cmd": "BOUNCE", "job": 8, "pause": 500_000}),
-        (i.Fail(), {"cmd": "ERROR", "job": 8}),
-        (i.Vote(3, i.Verdict.BACK, 1), {"cmd": "OPINION", "build_no": 3, "reason": 3, "wave": 1}),
-        (i.WakeAt(2.0), {"cmd": "SCHEDULE", "due_at": 2_000_000, "cookie": 0}),
-        (i.ProbeServer(0), {"cmd": "SAMPLE", "machine": "m.a"}),
-        (i.SendToPeer(-1, b"hi"), {"cmd": "SIGNAL", "neighbour_id": -1, "raw": "6869"}),
+        (interface.SendAttempt(0, 1.5), {"cmd": "ATTEMPT", "job": 8, "within": 1_500_000, "machine": "m.a"}),
+        (interface.CancelAttempt(2), {"cmd": "WITHDRAW", "job": 8, "seq_no": 2}),
+        (interface.Shed(0.5), {"cmd": "BOUNCE", "job": 8, "pause": 500_000}),
+        (interface.Fail(), {"cmd": "ERROR", "job": 8}),
+        (
+            interface.Vote(3, interface.Verdict.BACK, 1),
+            {"cmd": "OPINION", "build_no": 3, "reason": 3, "wave": 1},
+        ),
+        (interface.WakeAt(2.0), {"cmd": "SCHEDULE", "due_at": 2_000_000, "cookie": 0}),
+        (interface.ProbeServer(0), {"cmd": "SAMPLE", "machine": "m.a"}),
+        (interface.SendToPeer(-1, b"hi"), {"cmd": "SIGNAL", "neighbour_id": -1, "raw": "6869"}),
     ],
 )
 def test_actions_are_encoded(action, encoded):
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -14,7 +14,7 @@
 from conftest import build_config, build_node_config, discovery_entry, null_log
 from gevent import socket
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.config.frames import FrameDecoder, encode_frame
 from myrtleroad.control import commands, service
 from myrtleroad.control.folder import Folder, StateError
@@ -115,7 +115,7 @@
     balancer = running_front.dispatcher.balancer
     assert balancer.settings.routes[0].timeout_ms == 700.0 and balancer.settings.routes[0].max_attempts == 1
     assert balancer.max_trial_share == 0.05
-    assert {m.entry.status for m in balancer.servers.values()} == {i.ServerStatus.DRAINING}
+    assert {m.entry.status for m in balancer.servers.values()} == {interface.ServerStatus.DRAINING}
     client = socket.create_connection(running_front.client_listener.sock.getsockname())
     answers = []
     for n in range(4):
@@ -134,7 +134,7 @@
         and orjson.loads(running_front.log.lines[-1])["level"] == "warning"
     )
     assert balancer.settings.routes[0].timeout_ms == 2000.0 and balancer.max_trial_share == 1.0
-    assert {m.entry.status for m in balancer.servers.values()} == {i.ServerStatus.IN_SERVICE}
+    assert {m.entry.status for m in balancer.servers.values()} == {interface.ServerStatus.IN_SERVICE}
     assert running_front.counters.counts["faults"] == 0
 
 
@@ -217,7 +217,9 @@
     deployment.publish("trial most-share=0.1")
     wait_until(lambda: held_number(running_front) == 1)
     running_front.dispatcher.post_update(
-        i.StageUpdate(i.Outcome.COMPLETED, False, 2, 0, i.RolloutPhase.ON_TRIAL, 0.04, 0.0)
+        interface.StageUpdate(
+            interface.Outcome.COMPLETED, False, 2, 0, interface.RolloutPhase.ON_TRIAL, 0.04, 0.0
+        )
     )
     running_front.dispatcher.apply_updates()
     assert (
