--- a/myrtleroad/config/ledger.py
+++ b/myrtleroad/config/ledger.py
@@ -137,8 +137,8 @@
         self.streams.add(stream)
 
     def stream_closed(self, stream: int) -> None:
-        """Offers of this stream get no answers any more. A version that is being applied is completed: the
-        loss of its stream doesn't make it worse."""
+        """Offers of this stream get no answers any more. A version that is being applied is still
+        completed: losing the stream doesn't make the version invalid."""
         self.streams.discard(stream)
         if self.pending is not None and self.pending.stream == stream:
             self.pending = None
--- a/myrtleroad/config/request_limits.py
+++ b/myrtleroad/config/request_limits.py
@@ -32,8 +32,8 @@
             self.usage.clear()  # nothing is counted without limits, so nothing would be released
         tenants = limits.tenants if limits is not None else {}
         tenant_rates = {tenant: effective["rate"] for tenant, effective in tenants.items()}
-        # Guards against refusing requests by the quota of the platform's settings: it says which requests
-        # have less benefit, not which are forbidden.
+        # Guards against refusing requests by the quota of the platform's settings: it marks requests
+        # as less beneficial, not as forbidden.
         self.max_rates = {
             tenant: effective.value
             for tenant, effective in tenant_rates.items()
@@ -50,7 +50,7 @@
         tenant_usage = self.usage.setdefault(tenant, TenantUsage(0.0, now))
         rate = self.max_rates.get(tenant)
         if tenant_usage.open_requests >= self.max_open.get(tenant, float("inf")):
-            # The end of an open request is not known: some tenths of a second.
+            # When an open request will end is not known; assumes some tenths of a second.
             return 1000.0 / rate if rate else 100.0
         if rate is not None:
             tenant_usage.tokens = min(
--- a/myrtleroad/config/rules.py
+++ b/myrtleroad/config/rules.py
@@ -1,7 +1,7 @@
 """The rules of a version: what operators may narrow of a front's settings, and which limits are in effect.
 
-A version may narrow what the platform and the settings allow, never widen it. That may cease to hold after
-a version was accepted: then the lower value of that moment is in effect, and the version stays in force."""
+A version may narrow what the platform and the settings allow, never widen it. If they allow less than an
+accepted version at a later time, the lower value is in effect and the version stays in force."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field, replace
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FrontLimits:
-    """What a version is checked against: the settings, and the current cap from the deployer.
+    """What a version is checked against: the settings and the platform's current cap.
 
     ``cap``: share of the build on trial; None if no build is on trial, then ``caps`` (by stage) apply.
     ``control_host``: the host that versions come from, None if they come from a file."""
--- a/myrtleroad/config/scanner.py
+++ b/myrtleroad/config/scanner.py
@@ -106,8 +106,8 @@
             raise self.error("the text ends inside an unclosed block of children")
 
     def next_token(self) -> tuple[str, int]:
-        """The kind of the next token and where it begins; ``position`` is behind it afterwards. Multi-line
-        strings, raw strings and block comments are passed as a whole."""
+        """The kind of the next token and where it begins; ``position`` is after it then. Multi-line strings,
+        raw strings and block comments are skipped as a whole."""
         match = TOKEN.match(self.text, self.position)
         if match is None:  # a control character that no pattern matches
             raise self.error(f"{self.text[self.position]!r} is not allowed here")
@@ -131,12 +131,12 @@
         return kind, start
 
     def count_lines(self, start: int) -> None:
-        """Counts the lines within the passed text: only escapes and multi-line strings contain any."""
+        """Counts the lines within the skipped text: only escapes and multi-line strings contain any."""
         for found in re.finditer(r"\r\n|[\r\n\x0b\x0c\x85\u2028\u2029]", self.text[start : self.position]):
             self.line, self.line_start = self.line + 1, start + found.end()
 
     def skip_past(self, terminator: str, start: int, what: str) -> None:
-        """Passes everything up to and including ``terminator``; ``what`` names it in the error."""
+        """Skips everything up to and including ``terminator``; ``what`` names it in the error."""
         end = self.text.find(terminator, self.position)
         if end < 0:
             raise self.error(f"{what} is not terminated", start)
@@ -144,7 +144,7 @@
         self.count_lines(start)
 
     def skip_multiline_string(self, start: int) -> None:
-        """Passes a multi-line string; an escaped quote does not end it."""
+        """Skips a multi-line string; an escaped quote does not end it."""
         for found in re.finditer(r'\\[\s\S]|"""', self.text[self.position :]):
             if found.group() == '"""':
                 self.position += found.end()
@@ -152,7 +152,7 @@
         raise self.error("unterminated multi-line string", start)
 
     def skip_block_comment(self, start: int) -> None:
-        """Passes a block comment; block comments may be nested."""
+        """Skips a block comment; block comments may be nested."""
         depth = 1
         while depth:
             found = re.compile(r"/\*|\*/").search(self.text, self.position)
@@ -162,7 +162,7 @@
         self.count_lines(start)
 
     def skip_blanks(self) -> None:
-        """Passes white space, line ends and comments between a slashdash and the element that it removes."""
+        """Skips white space, line ends and comments between a slashdash and the element that it removes."""
         while (found := TOKEN.match(self.text, self.position)) and found.lastgroup in (
             "blank",
             "newline",
@@ -196,8 +196,8 @@
         return span
 
     def skip_line_continuation(self) -> None:
-        """Passes a line continuation: blanks and a comment up to the end of the line. The node goes on
-        behind it."""
+        """Skips a line continuation: blanks and a comment up to the end of the line. The node continues
+        after it."""
         while (found := TOKEN.match(self.text, self.position)) and found.lastgroup in (
             "blank",
             "line_comment",
@@ -210,7 +210,7 @@
                 raise self.error("unexpected text after a line continuation \\", start)
 
     def expect_node_end(self) -> None:
-        """Only the end of a node may follow its }."""
+        """Raises ScanError unless the node ends after its }."""
         while (found := TOKEN.match(self.text, self.position)) and found.lastgroup == "blank":
             self.next_token()
         found = TOKEN.match(self.text, self.position)
--- a/myrtleroad/config/schema.py
+++ b/myrtleroad/config/schema.py
@@ -11,7 +11,7 @@
 
 from myrtleroad.config.document import AnnotatedValue, Fault, Node, Value
 
-# units by annotation: the value of one in the unit that the program uses
+# Units by annotation: the factor that converts a value to the unit used in the program.
 UNITS = {
     "duration": {"ms": 1.0, "s": 1000.0, "min": 60_000.0},  # in ms
     "rate": {"per-s": 1.0, "per-min": 1 / 60},  # per second
@@ -29,7 +29,7 @@
     choices: tuple[str, ...] = ()
 
     def describe(self) -> str:
-        """What is allowed, as text for messages."""
+        """The allowed values, as text for messages."""
         match self.name:
             case "choice":
                 return "one of " + ", ".join(self.choices)
@@ -81,7 +81,7 @@
     """The shape of one node: its single argument, if it has one, its properties and its child nodes.
 
     ``repeatable``: the node may occur more than once, with different arguments. ``required`` names the
-    properties that it can't do without."""
+    properties that have to be present."""
 
     arg: ValueKind | None = None
     properties: dict[str, ValueKind] = field(default_factory=dict)
--- a/myrtleroad/control/rollout.py
+++ b/myrtleroad/control/rollout.py
@@ -123,8 +123,8 @@
     # --- events ---
 
     def publish(self, version: VersionId, now: float) -> list[RolloutAction]:
-        """Starts the rollout of a version. A rollout in progress stops where it is: its fronts get the new
-        version with their ring. Raises ValueError if the version does not increase."""
+        """Starts the rollout of a version. A rollout in progress ends where it is: its fronts are
+        offered the new version with their ring. Raises ValueError if the version does not increase."""
         if version <= self.version:
             raise ValueError(f"{version} is not higher than {self.version}")
         if self.phase == VersionRolloutPhase.DONE:
@@ -142,9 +142,9 @@
 
     def resume(self, last_version: VersionId, halt_reason: str, now: float) -> list[RolloutAction]:
         """Continues after a restart of the service. ``last_version`` is the last published version,
-        ``halt_reason`` why its rollout was halted ("" if it was not). Guards against a forgotten rollout
-        (it starts again at ring one, where fronts that hold the version count as acknowledged), and
-        against a restart that lifts a halt."""
+        ``halt_reason`` why its rollout was halted ("" if it was not). A restart must neither abandon a
+        rollout nor lift a halt: a rollout in progress starts again at ring one, where fronts that hold
+        the version count as acknowledged, and a halted one stays halted."""
         if last_version <= self.base:
             return []
         actions = self.publish(last_version, now)
@@ -182,7 +182,7 @@
         return actions
 
     def is_behind(self, record: FrontRecord) -> bool:
-        """Whether a front that is not on the new version holds less than the base version."""
+        """Whether a front that doesn't hold the new version holds an older one than the base version."""
         return (
             record.state in (FrontState.WAITING, FrontState.REFUSED, FrontState.BACK)
             and record.holds < self.base
--- a/myrtleroad/control/service.py
+++ b/myrtleroad/control/service.py
@@ -24,7 +24,7 @@
 from myrtleroad.config.scanner import MAX_DOCUMENT_BYTES
 from myrtleroad.control.folder import Folder, Published
 from myrtleroad.control.numbering import FIRST_EPOCH, NumberTaken, worth_as_difference
-from myrtleroad.control.numbering import next_number as numbered
+from myrtleroad.control.numbering import next_number as next_version_number
 from myrtleroad.control.rollout import (
     Rollout,
     RolloutAction,
@@ -75,14 +75,14 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorCall:
-    """A call of an operator; ``reply`` takes the answer."""
+    """A call of an operator; ``reply`` is called with the answer."""
 
     fields: dict[str, Any]
     reply: Callable[[dict[str, Any]], None]
 
 
 class CallRefused(Exception):
-    """An operator's call that can't be done; its text is the answer."""
+    """An operator's call was refused; the text is sent as the answer."""
 
 
 class ControlService:
@@ -163,9 +163,9 @@
     def process_messages(self) -> None:
         """The loop of the actor: handles messages and timeouts one after the other."""
         while True:
-            wait = max(0.001, min(self.rollout.next_deadline(self.clock()) - self.clock(), 1000.0) / 1000)
+            wait_s = max(0.001, min(self.rollout.next_deadline(self.clock()) - self.clock(), 1000.0) / 1000)
             message = None
-            with gevent.Timeout(wait, False):
+            with gevent.Timeout(wait_s, False):
                 message = self.mailbox.get()
             now = self.clock()
             try:
@@ -230,8 +230,8 @@
                 )
 
     def with_position(self, version_id: VersionId, text: str, path: list[str]) -> str:
-        """Adds the position in the text to a refusal: a front that was sent a difference knows no
-        position."""
+        """Adds the position in the text to a refusal: a front that was sent a difference has no
+        positions."""
         position = self.positions.get(version_id, {}).get(tuple(path))
         return (
             f"line {position[0]}, column {position[1]}: {text}"
@@ -275,7 +275,7 @@
             return
         stream.put(encode_frame("offer", **fields, text=published.text))
 
-    def delta_fields(self, base: VersionId, version_id: VersionId, size: int) -> dict[str, Any] | None:
+    def delta_fields(self, base: VersionId, version_id: VersionId, text_length: int) -> dict[str, Any] | None:
         """The difference between two versions, computed once for all fronts that hold the same version;
         None if the base is unknown or the difference is as long as the text."""
         if base == NO_VERSION or base not in self.entries:
@@ -285,7 +285,7 @@
             changed = [[list(path), value] for path, value in delta.changed.items()]
             delta_part = {"set": changed, "dropped": [list(path) for path in delta.removed]}
             delta_part["base"] = {"epoch": base.epoch, "number": base.number}
-            self.deltas[base, version_id] = delta_part if worth_as_difference(delta, size) else None
+            self.deltas[base, version_id] = delta_part if worth_as_difference(delta, text_length) else None
         return self.deltas[base, version_id]
 
     # --- operators ---
@@ -324,7 +324,9 @@
         if parsed.faults:
             raise CallRefused("\n".join(fault.describe("version") for fault in parsed.faults[:20]))
         try:
-            number = numbered(parsed.number if restored_number is None else None, self.state.number)
+            number = next_version_number(
+                parsed.number if restored_number is None else None, self.state.number
+            )
         except NumberTaken as error:
             raise CallRefused(str(error)) from None
         published = Published(
--- a/myrtleroad/drill/host.py
+++ b/myrtleroad/drill/host.py
@@ -39,15 +39,15 @@
             max_poll_interval_ms,
             service_kind,
         )
-        self.requests_list, self.list_backoff = (
+        self.list_on_request, self.list_backoff = (
             settings.list_on_request,
             CallBackoff(follower_settings, Random(seed).random),
         )
-        self.list_received_at: float | None = None  # the first list since the last failure
+        self.list_received_at: float | None = None  # when the first list since the last failed call came
         self.server_indices: dict[str, int] = {}  # by server id; grows with the fleet, never with requests
         self.server_ids: list[str] = []
-        self.open_requests: dict[int, RequestCoroutine] = {}  # an entry goes as its request ends
-        # Request and wait number for each timer; an entry goes as its timer fires.
+        self.open_requests: dict[int, RequestCoroutine] = {}  # entries are removed when their request ends
+        # Request and wait number for each timer; entries are removed when their timer fires.
         self.timers: dict[int, tuple[RequestCoroutine, int]] = {}
         self.next_cookie = LIST_CALL_COOKIE + 1
         self.messages: list[dict[str, Any]] = []  # to be sent with the reply to the current batch
@@ -122,7 +122,7 @@
     def start(self, now: float) -> None:
         """Performs the first actions of a new front."""
         self.perform(self.balancer.wake(now))
-        if self.requests_list:
+        if self.list_on_request:
             self.perform([interface.WatchServerList()])
 
     def schedule_list_call(self, now: float) -> None:
@@ -183,8 +183,9 @@
         self.fronts: dict[int, SimulatedFront] = {}
         self.lists: dict[int, list[dict[str, Any]]] = {}
 
-    def process_event(self, event: dict[str, Any], now: float, touched: dict[int, list]) -> bool:
-        """Processes one event and notes in ``touched`` the messages of the front that it concerned.
+    def process_event(self, event: dict[str, Any], now: float, messages_by_front: dict[int, list]) -> bool:
+        """Processes one event and stores the messages of the front that it concerned in
+        ``messages_by_front``.
 
         Returns False after the decision module has raised an exception; the front's messages are then
         replaced by the one that reports it."""
@@ -194,7 +195,7 @@
             return True
         if cmd == "CRASH_NOW":
             self.fronts.pop(front_id, None)
-            touched.pop(front_id, None)
+            messages_by_front.pop(front_id, None)
             return True
         try:
             if cmd == "BORN":
@@ -209,21 +210,21 @@
         except codec.ProtocolError:
             raise
         except Exception as error:
-            touched[front_id] = [codec.failure_message(front_id, cmd, error)]
+            messages_by_front[front_id] = [codec.failure_message(front_id, cmd, error)]
             return False
-        touched[front_id] = front.messages
+        messages_by_front[front_id] = front.messages
         return True
 
     def process_batch(self, now: float, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
         """Processes the events of a batch in order and returns the messages of the reply, front by front in
-        the order in which the events first concerned them. ``now`` is in ms. The rest of the batch is left
-        out once an event has failed."""
-        touched: dict[int, list] = {}
+        the order in which the events first concerned them. ``now`` is in ms. The rest of the batch is
+        skipped once an event has failed."""
+        messages_by_front: dict[int, list] = {}
         for event in events:
-            if not self.process_event(event, now, touched):
+            if not self.process_event(event, now, messages_by_front):
                 break
-        reply = [message for messages in touched.values() for message in messages]
-        for front_id in touched:
+        reply = [message for messages in messages_by_front.values() for message in messages]
+        for front_id in messages_by_front:
             if front_id in self.fronts:
                 self.fronts[front_id].messages = []
         return reply
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -51,7 +51,7 @@
         gevent.sleep(0.01)
         return address
 
-    def front(self, name="n0"):
+    def start_front(self, name="n0"):
         node_config = build_node_config(
             discovery_entry("s-1", SERVER_ADDRESS),
             discovery_entry("s-2", SERVER_ADDRESS, zone="there"),
@@ -103,7 +103,7 @@
 
 def test_version_limits_balancer_server_list_and_client_listener(make_deployment):
     deployment = make_deployment()
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     lines = [
         'routes { route "look" timeout=(ms)700 most-tries=1 }',
         "trial most-share=0.05",
@@ -140,7 +140,7 @@
 
 def test_refused_network_gets_no_more_answers(make_deployment):
     deployment = make_deployment()
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     client = socket.create_connection(running_front.client_listener.sock.getsockname())
     running_front.client_listener.networks = None
     deployment.publish('networks { refuse "127.0.0.0/9" }')
@@ -158,7 +158,7 @@
 
 def test_invalid_version_is_refused_with_a_reason_and_the_last_good_one_stays(make_deployment):
     deployment = make_deployment()
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     deployment.publish('routes { route "look" most-tries=2 }')
     wait_until(lambda: held_number(running_front) == 1)
     deployment.publish('routes { route "look" most-tries=99 }')
@@ -187,7 +187,7 @@
 
 def test_version_rolls_back_unless_confirmed_in_time(make_deployment):
     deployment = make_deployment(bad_share=0.0)
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     deployment.publish("trial most-share=0.05")
     wait_until(lambda: held_number(running_front) == 1)
     deployment.publish("trial most-share=0.01", head="confirm=(s)1")
@@ -213,7 +213,7 @@
 
 def test_lower_cap_narrows_a_version_in_force_at_once(make_deployment):
     deployment = make_deployment()
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     deployment.publish("trial most-share=0.1")
     wait_until(lambda: held_number(running_front) == 1)
     running_front.dispatcher.post_update(
@@ -230,7 +230,7 @@
 
 def test_service_killed_during_a_rollout_continues_its_numbers(make_deployment):
     deployment = make_deployment(rings=(0.5, 1.0))
-    first, second = deployment.front("n0"), deployment.front("n1")
+    first, second = deployment.start_front("n0"), deployment.start_front("n1")
     deployment.service.rollout.plan = RolloutPlan((0.5, 1.0), watch_ms=60_000.0)
     deployment.publish("trial most-share=0.05")
     wait_until(lambda: held_number(first) == 1)
@@ -288,7 +288,7 @@
 
 def test_wall_clock_jumps_affect_neither_confirmations_nor_heartbeats(make_deployment, monkeypatch):
     deployment = make_deployment()
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     deployment.publish("trial most-share=0.05", head="confirm=(s)60")
     wait_until(lambda: held_number(running_front) == 1)
     now, wall = running_front.clock(), time.time
@@ -319,7 +319,7 @@
 
 def test_front_survives_invalid_frames_of_the_service(make_deployment):
     deployment = make_deployment()
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     stream = deployment.service.streams["n0"]
     for invalid_bytes in (encode_frame("offer", nonce=1), b"\xff" * 9):
         stream.put(invalid_bytes)
@@ -339,7 +339,7 @@
 
 def test_small_change_is_sent_as_a_difference_with_the_same_content(make_deployment):
     deployment = make_deployment()
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     many = [f'  refuse "10.{n}.0.0/16"' for n in range(200)]
     deployment.publish("networks {", *many, "}")
     wait_until(lambda: held_number(running_front) == 1)
@@ -357,7 +357,7 @@
 
 def test_sighup_during_an_offer_moves_to_a_service_of_another_epoch(make_deployment, tmp_path, monkeypatch):
     deployment = make_deployment()
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     deployment.publish("trial most-share=0.05")
     wait_until(lambda: held_number(running_front) == 1)
     second_deployment = Deployment(tmp_path / "other")
@@ -366,7 +366,7 @@
     monkeypatch.setenv("NODE_CONFIG", str(tmp_path / "config.json"))
     deployment.front_file.write_text('control "{}:{}"'.format(*second_deployment.service.address))
     second_deployment.publish("trial most-share=0.02")
-    deployment.publish("trial most-share=0.04")  # both at once, and the signal
+    deployment.publish("trial most-share=0.04")  # both services publish just before the signal
     running_front.reload()
     wait_until(lambda: running_front.config_versions.ledger.in_force.version.epoch == 2)
     assert (
@@ -377,7 +377,7 @@
     gevent.sleep(0.05)
     assert running_front.dispatcher.balancer.max_trial_share == 0.02
     open_streams = set(running_front.config_versions.sockets)
-    # Nothing listens there: the open stream is followed on.
+    # Nothing listens there: the front keeps following the open stream.
     deployment.front_file.write_text('control "127.0.0.1:9"')
     running_front.reload()
     gevent.sleep(0.05)
@@ -417,7 +417,7 @@
 
 def test_front_stopped_during_an_offer_ends_without_faults(make_deployment):
     deployment = make_deployment()
-    running_front = deployment.front()
+    running_front = deployment.start_front()
     deployment.publish("trial most-share=0.05")
     running_front.on_term()
     running_front.reload()
