--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -2,6 +2,6 @@
 
 ``python -m soak`` runs seeds. ``deployment`` builds the settings and node configuration of a front;
 ``servers``, ``discovery``, ``platform`` and ``clients`` are the stand-ins; ``fronts`` starts and signals the
-processes; ``shim`` makes their system calls and clocks misbehave; ``run`` puts one run together; ``faults``
-lists what can go wrong in it. ``records`` holds the observations, and ``checker`` checks the rules against
-these records alone."""
+processes; ``shim`` makes their system calls fail and manipulates their clocks; ``run`` puts one run together;
+``faults`` defines the faults that can be injected into it. ``records`` holds the observations, and
+``checker`` checks the rules against these records alone."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -35,7 +35,9 @@
 def draw_scenario(
     seed: int, fronts: int | None, fault_names: tuple[str, ...]
 ) -> tuple[Deployment, list[Fault], Random]:
-    """Draws the deployment and the faults of a seed. The order of the draws is part of what a seed means."""
+    """Draws the deployment and the faults of a seed.
+
+    The order of the draws is fixed: another order would give each seed another run."""
     random = Random(seed)
     front_count = fronts or random.choice((3, 3, 4, 6))
     deployment = Deployment(
--- a/soak/checker.py
+++ b/soak/checker.py
@@ -1,5 +1,5 @@
 """Checks the five rules, responses in time and crashes from the records alone, by the protocol specification
-and the specification of the standing test.
+and the acceptance test specification.
 
 Nothing here depends on the program under test: a violation is what stand-ins and clients observed. The
 tolerances are those of the specifications."""
@@ -15,7 +15,7 @@
 
 TIME_SLACK_S = 0.05  # added to every time limit, as times are measured on sockets
 CHANGE_KNOWN_AFTER_S = 6.0  # a front has to know a change this long after discovery had it and was reachable
-PUSHED_CHANGE_KNOWN_AFTER_S = 0.0  # where lists are pushed, what the pushing agent has counts at once
+PUSHED_CHANGE_KNOWN_AFTER_S = 0.0  # where lists are pushed: after the pushing agent had the change
 LATE_RESPONSE_S = 0.5  # a response up to this late earns nothing, but isn't a lost request
 STOP_GRACE_S = 0.7  # requests sent later than this after SIGTERM are excused at the SIGKILL
 LEAVE_NOTICE_S = 0.1  # attempts later than this after the client's close are a violation
@@ -174,23 +174,25 @@
         deployment, found = self.deployment, []
         for server in {c.server for c in self.records.changes}:
             attempt_times = [a.begun for a in self.records.attempts if a.server == server]
-            for begun in self.restart_times(server):
+            for started_at in self.restart_times(server):
                 slow_start_attempts = [
-                    t for t in attempt_times if begun <= t < begun + deployment.slow_start_s
+                    t for t in attempt_times if started_at <= t < started_at + deployment.slow_start_s
                 ]
-                if (at := self.first_overload(slow_start_attempts, begun)) is not None:
+                if (at := self.first_overload(slow_start_attempts, started_at)) is not None:
                     found.append(
-                        Violation("failback", at, f"{server} overloaded {at - begun:.2f} s after its start")
+                        Violation(
+                            "failback", at, f"{server} overloaded {at - started_at:.2f} s after its start"
+                        )
                     )
         return found
 
     def restart_times(self, server: str) -> list[float]:
-        """Returns the times at which discovery had each start of this server, without the first one."""
+        """Returns when discovery had each start of this server but the first."""
         changes = [c for c in self.records.changes if c.server == server]
-        return [b.at for a, b in pairwise(changes) if b.started_ms > a.started_ms]
+        return [later.at for earlier, later in pairwise(changes) if later.started_ms > earlier.started_ms]
 
-    def first_overload(self, attempt_times: list[float], begun: float) -> float | None:
-        """Returns the time of the first attempt that overloads a server started at ``begun``, or None.
+    def first_overload(self, attempt_times: list[float], started_at: float) -> float | None:
+        """Returns the time of the first attempt that overloads a server started at ``started_at``, or None.
 
         The limit is the number of attempts in the overload window that the overload factor allows at the
         capacity of that moment, plus a margin for chance: two standard deviations of a Poisson count plus 2,
@@ -200,7 +202,7 @@
             capacity_share = min(
                 1.0,
                 deployment.slow_start_min_share
-                + (1 - deployment.slow_start_min_share) * (at - begun) / deployment.slow_start_s,
+                + (1 - deployment.slow_start_min_share) * (at - started_at) / deployment.slow_start_s,
             )
             expected = (
                 deployment.overload_factor
@@ -335,7 +337,7 @@
         return since
 
     def build(self, front: str, server: str, at: float) -> int:
-        """Returns the build that a front has to take a server to run."""
+        """Returns the build that a front has to assume for a server."""
         changes = self.changes[server]
         known_changes = [c for c in changes if self.known_at(front, c) + BUILD_CHANGE_DELAY_S <= at]
         return (known_changes or changes)[-1 if known_changes else 0].build
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -16,7 +16,7 @@
 from soak.servers import response_body
 
 PARTIAL_REQUEST_TIMEOUT_S = 3.0  # within which a partial request gets an error or a close
-EXTRA_WAIT_S = 1.0  # a client waits past its deadline, to tell a late response from none
+EXTRA_WAIT_S = 1.0  # a client waits past its deadline, to distinguish a late response from none
 UNSAFE_SHARE = 0.3
 # A client may notice this late that a kept connection was reset by the kill of its front.
 KILL_DETECTION_S = 0.5
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -260,7 +260,7 @@
             call.sock.close()
 
     def write_list(self, watch: WatchStream, first: bool = False) -> None:
-        """Sends what a watch hasn't got yet; at the start of a watch also when that is nothing."""
+        """Sends the changes that a watch hasn't received; a new watch gets a list even without changes."""
         if watch.silent or (watch.version >= self.version and not first):
             return
         line = self.list_line(None if watch.version < 0 else watch.version)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -115,14 +115,14 @@
 def process_held(run: SoakRun, random: Random, start_s: float) -> None:
     """Stops one front for moments with SIGSTOP, once a second."""
     front = random.choice(run.fronts)
-    for n in range(5):
-        run.schedule_fault(start_s + n, front.signal, signal.SIGSTOP)
-        run.schedule_fault(start_s + n + random.uniform(0.02, 0.15), front.signal, signal.SIGCONT)
+    for second in range(5):
+        run.schedule_fault(start_s + second, front.signal, signal.SIGSTOP)
+        run.schedule_fault(start_s + second + random.uniform(0.02, 0.15), front.signal, signal.SIGCONT)
 
 
 @register_fault("drain")
 def moved_addresses(run: SoakRun, random: Random, start_s: float) -> None:
-    """Moves discovery and the platform to new addresses for one front, once or three times in short order."""
+    """Moves discovery and the platform to new addresses for one front, once or three times within 50 ms."""
     front = random.choice(run.fronts)
 
     def move_addresses() -> None:
--- a/soak/fronts.py
+++ b/soak/fronts.py
@@ -107,8 +107,8 @@
     def excuse_open_requests(self) -> None:
         """Excuses the requests that are open at a SIGKILL.
 
-        Requests sent before SIGTERM or up to 0.7 s after it aren't excused: the front had its whole stop time
-        for them."""
+        Requests sent before SIGTERM or up to 0.7 s after it aren't excused: the front had enough time to
+        answer them."""
         for request in self.records.requests:
             if request.front == self.name and request.outcome is None:
                 excused = self.sigterm_at is None or request.sent > self.sigterm_at + 0.7
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -37,7 +37,7 @@
 
 
 # The errors that the man pages name and that a process can get on an intact socket or file. Errors by which
-# reading or writing reports a connection as reset or timed out are left out: they are true only of a
+# reading or writing reports a connection as reset or timed out are left out: they occur only on a
 # connection that was reset, and the stand-ins cause them with a real reset.
 ERRNOS: dict[SystemCall, tuple[int, ...]] = {
     SystemCall.ACCEPT: (
--- a/tests/test_soak_calls.py
+++ b/tests/test_soak_calls.py
@@ -12,13 +12,13 @@
 from soak.run import SoakRun
 from soak.shim import SystemCall
 
-LONGEST_S = 60.0  # for one test, with the start of its fronts
+TIME_LIMIT_S = 60.0  # for one test, with the start of its fronts
 HOUR_S = 3600.0
 
 
 @pytest.fixture(autouse=True)
-def bound():
-    with gevent.Timeout(LONGEST_S):
+def time_limit():
+    with gevent.Timeout(TIME_LIMIT_S):
         yield
 
 
@@ -66,7 +66,7 @@
         run.run_until(6.0)
         assert run.finish() == []
         refused = [r for r in run.records.requests if r.outcome == Outcome.REFUSED]
-        # a refusal after half of a request's time has a price
+        # a rejection later than half of a request's time limit has a cost
         half_deadline_s = run.deployment.deadline_s / 2
         assert all(r.ended - r.sent < half_deadline_s for r in refused)
         late = count_outcomes(run, 4.5)
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds a made-up violation of each of its rules and accepts what the specifications allow."""
+"""The checker finds an invented violation of each of its rules and accepts what the specifications allow."""
 
 from dataclasses import replace
 
@@ -41,7 +41,7 @@
     records = Records(changes=[server_change()], written=[ListDelivery("n0", 0.0, 1)])
     for name, value in observed.items():
         setattr(records, name, value)
-    return sorted({b.rule for b in RuleChecker(records, deployment or Deployment()).violations()})
+    return sorted({found.rule for found in RuleChecker(records, deployment or Deployment()).violations()})
 
 
 def test_request_served_in_time_is_no_violation():
--- a/tests/test_soak_discovery.py
+++ b/tests/test_soak_discovery.py
@@ -9,12 +9,12 @@
 from soak.records import Outcome
 from soak.run import SoakRun
 
-LONGEST_S = 60.0  # for one test, with the start of its fronts
+TIME_LIMIT_S = 60.0  # for one test, with the start of its fronts
 
 
 @pytest.fixture(autouse=True)
-def bound():
-    with gevent.Timeout(LONGEST_S):
+def time_limit():
+    with gevent.Timeout(TIME_LIMIT_S):
         yield
 
 
--- a/tests/test_soak_signals.py
+++ b/tests/test_soak_signals.py
@@ -11,12 +11,12 @@
 from soak.run import SoakRun
 from soak.servers import ServerMode
 
-LONGEST_S = 60.0  # for one test, with the start of its fronts
+TIME_LIMIT_S = 60.0  # for one test, with the start of its fronts
 
 
 @pytest.fixture(autouse=True)
-def bound():
-    with gevent.Timeout(LONGEST_S):
+def time_limit():
+    with gevent.Timeout(TIME_LIMIT_S):
         yield
 
 
