--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -51,7 +51,7 @@
     },
     "registry_mode": "on_request",
 }
-CHUNK = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n"
+STREAM_START = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n"
 
 
 def open_listener() -> socket.socket:
@@ -95,7 +95,7 @@
 
     def send_stream(sock: socket.socket) -> None:
         next(read_heads(sock), None)
-        sock.sendall(CHUNK % (len(line), line))
+        sock.sendall(STREAM_START % (len(line), line))
         while True:
             gevent.sleep(0.5)
             sock.sendall(b"2\r\n:\n\r\n" if line.startswith(b"event") else b"1\r\n\n\r\n")
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -108,11 +108,11 @@
     cores_free_at: list[float]  # when each core becomes free, as a heap
     entry: interface.ServerEntry
     request_count: int = 0  # requests that wait or are being executed
-    open_attempts: dict[int, tuple] = field(default_factory=dict)  # an entry goes as its attempt ends
+    open_attempts: dict[int, tuple] = field(default_factory=dict)  # each is removed as it ends
     connections: int = 0
     running: bool = True
     unreachable: bool = False  # the network drops everything that is sent to it
-    restarts: int = 0  # tells work of an earlier start, which is gone, from that of the current one
+    restarts: int = 0  # distinguishes work from before a restart, which is lost, from current work
     started_at: float = -1e9
     # Time and work of the attempts received during the slow start, within the overload window.
     recent_work: deque[tuple[float, float]] = field(default_factory=deque)
@@ -558,7 +558,7 @@
             server.connections -= 1
 
     def check_rules(self, front: SimulatedFront, server: SimulatedServer) -> None:
-        """Counts an attempt that breaks the rules on sending, given what the front was notified of."""
+        """Counts an attempt that breaks a rule on sending, by the changes that the front has received."""
         status, notified_at = front.known_statuses.get(server.index, (interface.ServerStatus.IN_SERVICE, 0.0))
         self.counts["broken_drain"] += (
             status != interface.ServerStatus.IN_SERVICE and self.now - notified_at > DRAIN_GRACE_MS
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,5 +1,5 @@
 """Measures how long fronts are without a stream from discovery and how many calls they make to it, with the
-former and the present pauses between calls, and what it costs to poll the streams before each first byte.
+former and the present pauses between calls, and the cost of polling the streams before each first byte.
 
     python -m benchmarks.membership            # tables in Markdown, on standard output
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,7 +1,7 @@
 """Measures the resources that one front needs as the number of servers grows while the traffic stays the
 same. The front is a real process; the other parties are stand-ins.
 
-    python -m benchmarks.scale            # a table in Markdown, with the limits of the standing test
+    python -m benchmarks.scale            # a table in Markdown, with the limits of the acceptance test
 
 Ratios are of one run. Servers drain and return in turn all the time, so that the server list changes."""
 
@@ -71,7 +71,7 @@
 
 
 def allowed_use(smallest: ResourceUse, servers: int) -> ResourceUse:
-    """The limits of the standing test, which follow from the use at the smallest size."""
+    """The limits of the acceptance test, which follow from the use at the smallest size."""
     thousands = servers / 1000
     return ResourceUse(
         servers,
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -38,16 +38,16 @@
     return "\n".join((f"version {number}", "networks {", *lines, "}", ""))
 
 
-def wake_up_delays(work: Callable[[], None], rate: float = 240.0) -> list[float]:
-    """How late each of ``rate`` wake-ups a second comes while ``work`` runs in a greenlet of its own; in
-    seconds, sorted."""
+def wake_up_delays(work: Callable[[], None], rate_per_s: float = 240.0) -> list[float]:
+    """How late each of ``rate_per_s`` wake-ups a second comes while ``work`` runs in a greenlet of its
+    own; in seconds, sorted."""
     delays_s: list[float] = []
     done = gevent.event.Event()
 
     def wake_repeatedly() -> None:
         due = time.perf_counter()
         while not done.is_set():
-            due += 1 / rate
+            due += 1 / rate_per_s
             gevent.sleep(max(0.0, due - time.perf_counter()))
             delays_s.append(max(0.0, time.perf_counter() - due))
 
@@ -76,13 +76,13 @@
     data = version_text(1, entries).encode()
     gevent.sleep(0)
     whole = wake_up_delays(lambda: version.read(data, FRONT_LIMITS))
-    slices = wake_up_delays(lambda: read_sliced(data))
+    sliced = wake_up_delays(lambda: read_sliced(data))
     idle = wake_up_delays(lambda: gevent.sleep(0.5))
     p99 = lambda delays_s: delays_s[int(0.99 * (len(delays_s) - 1))]  # noqa: E731
     return [
-        f"| longest hold, in one go against in slices | {whole[-1] / slices[-1]:.0f} |",
-        f"| 99% of wake-ups while read in slices against none being read | {p99(slices) / p99(idle):.1f} |",
-        f"| the longest hold in slices, of the whole time in one go | {slices[-1] / whole[-1]:.1%} |",
+        f"| longest hold, in one go against in slices | {whole[-1] / sliced[-1]:.0f} |",
+        f"| 99% of wake-ups while read in slices against none being read | {p99(sliced) / p99(idle):.1f} |",
+        f"| the longest hold in slices, of the whole time in one go | {sliced[-1] / whole[-1]:.1%} |",
     ]
 
 
@@ -98,10 +98,10 @@
         pass
 
 
-def latency_rows(entries: int, rate: float, seconds: float) -> list[str]:
-    """Rows on the latencies of ``rate`` requests a second through a real front while it reads a version of so
-    many entries again and again, compared with those while it reads none. Server, clients and front share
-    this process."""
+def latency_rows(entries: int, rate_per_s: float, seconds: float) -> list[str]:
+    """Rows on the latencies of ``rate_per_s`` requests a second through a real front while it reads a version
+    of so many entries again and again, compared with those while it reads none. Server, clients and front
+    share this process."""
     from myrtleroad.net import front, node_config, operator_limits
 
     upstream = server.StreamServer(("127.0.0.1", 0), lambda sock, _: serve_connection(sock))
@@ -135,8 +135,8 @@
     def run_load() -> list[float]:
         latencies_s: list[float] = []
         begin, sent = time.perf_counter(), 0
-        while (now := time.perf_counter() - begin) < seconds:
-            while sent < now * rate:
+        while (elapsed_s := time.perf_counter() - begin) < seconds:
+            while sent < elapsed_s * rate_per_s:
                 sent += 1
                 gevent.spawn(send_request, run_load.request_number, latencies_s)
                 run_load.request_number += 1
@@ -158,17 +158,17 @@
     run_load.request_number = 0
     run_load()  # opens connections
     offer = Offer(0, 1, VersionId(1, 1), "", None, {"text": text})
-    none = run_load()
-    slices = run_load_during(lambda: versions.check(offer))
+    idle = run_load()
+    sliced = run_load_during(lambda: versions.check(offer))
     whole = run_load_during(lambda: version.read(text.encode(), FRONT_LIMITS))
     running.kill()
     upstream.stop()
     p99 = lambda latencies_s: latencies_s[int(0.99 * (len(latencies_s) - 1))]  # noqa: E731
     return [
-        f"| 99% of latencies, read in slices against none | {p99(slices) / p99(none):.1f} |",
-        f"| 99% of latencies, read in one go against none | {p99(whole) / p99(none):.1f} |",
-        f"| answered 200, in slices against none | {len(slices) / len(none):.2f} |",
-        f"| answered 200, in one go against none | {len(whole) / len(none):.2f} |",
+        f"| 99% of latencies, read in slices against none | {p99(sliced) / p99(idle):.1f} |",
+        f"| 99% of latencies, read in one go against none | {p99(whole) / p99(idle):.1f} |",
+        f"| answered 200, in slices against none | {len(sliced) / len(idle):.2f} |",
+        f"| answered 200, in one go against none | {len(whole) / len(idle):.2f} |",
     ]
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,5 +1,5 @@
-"""A small fleet in virtual time: what does no harm in a single front must do none when all fronts do it, and
-no rule on sending may be broken."""
+"""A small fleet in virtual time: behaviour that is harmless in a single front must be harmless when all
+fronts have it, and no rule on sending may be broken."""
 
 import pytest
 
