--- a/myrtleroad/cli.py
+++ b/myrtleroad/cli.py
@@ -19,9 +19,11 @@
         self.lazy_commands = lazy_commands
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """The names of all commands, without importing the lazy ones."""
         return sorted([*super().list_commands(ctx), *self.lazy_commands])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
+        """The command of this name, imported now if it is lazy; None if there is none."""
         if name not in self.lazy_commands:
             return super().get_command(ctx, name)
         return getattr(importlib.import_module(self.lazy_commands[name]), name)
--- a/soak/checker.py
+++ b/soak/checker.py
@@ -172,11 +172,11 @@
     def check_slow_starts(self) -> list[Violation]:
         """Finds restarts after which a server got more attempts than its slow start allows."""
         deployment, found = self.deployment, []
-        for server in {c.server for c in self.records.changes}:
-            attempt_times = [a.begun for a in self.records.attempts if a.server == server]
+        for server in {change.server for change in self.records.changes}:
+            attempt_times = [attempt.begun for attempt in self.records.attempts if attempt.server == server]
             for started_at in self.restart_times(server):
                 slow_start_attempts = [
-                    t for t in attempt_times if started_at <= t < started_at + deployment.slow_start_s
+                    at for at in attempt_times if started_at <= at < started_at + deployment.slow_start_s
                 ]
                 if (at := self.first_overload(slow_start_attempts, started_at)) is not None:
                     found.append(
@@ -188,7 +188,7 @@
 
     def restart_times(self, server: str) -> list[float]:
         """Returns when discovery had each start of this server but the first."""
-        changes = [c for c in self.records.changes if c.server == server]
+        changes = [change for change in self.records.changes if change.server == server]
         return [later.at for earlier, later in pairwise(changes) if later.started_ms > earlier.started_ms]
 
     def first_overload(self, attempt_times: list[float], started_at: float) -> float | None:
@@ -250,7 +250,7 @@
 
     def stage(self, front: str, at: float) -> StageRecord | None:
         """Returns the latest stage that a front had received at a time."""
-        updates = [s for s in self.records.stages if s.front == front and s.at <= at]
+        updates = [update for update in self.records.stages if update.front == front and update.at <= at]
         return updates[-1] if updates else None
 
     def on_trial(self, front: str, build: int, at: float) -> bool:
@@ -262,14 +262,17 @@
 
     def cap(self, front: str, build: int, at: float) -> float:
         """Returns the cap that binds a front at a time. A lower cap binds only a while after it was sent."""
-        updates = [s for s in self.records.stages if s.front == front and s.at <= at]
+        updates = [update for update in self.records.stages if update.front == front and update.at <= at]
         recent = [
-            s
-            for s in updates
-            if s.at > at - CAP_CHANGE_DELAY_S - TIME_SLACK_S - self.deployment.drain_grace_s
+            update
+            for update in updates
+            if update.at > at - CAP_CHANGE_DELAY_S - TIME_SLACK_S - self.deployment.drain_grace_s
+        ]
+        before = [update for update in updates if update not in recent][-1:]
+        caps = [
+            update.cap if update.build == build else self.deployment.stage_caps[0]
+            for update in before + recent
         ]
-        before = [s for s in updates if s not in recent][-1:]
-        caps = [s.cap if s.build == build else self.deployment.stage_caps[0] for s in before + recent]
         return max(caps, default=self.deployment.stage_caps[0])
 
     # --- crashes ---
@@ -339,5 +342,7 @@
     def build(self, front: str, server: str, at: float) -> int:
         """Returns the build that a front has to assume for a server."""
         changes = self.changes[server]
-        known_changes = [c for c in changes if self.known_at(front, c) + BUILD_CHANGE_DELAY_S <= at]
+        known_changes = [
+            change for change in changes if self.known_at(front, change) + BUILD_CHANGE_DELAY_S <= at
+        ]
         return (known_changes or changes)[-1 if known_changes else 0].build
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -96,7 +96,7 @@
         """Sends a request again on a new connection, if the first one was kept open and the front closed it.
 
         The close may have crossed the request, and the protocol has clients try once more then."""
-        request = next((r for r in reversed(self.records.requests) if r.txn == request_id), None)
+        request = next((sent for sent in reversed(self.records.requests) if sent.txn == request_id), None)
         if request is None:
             return  # never written in full, so no front is responsible for it
         if front.killed_within(request.sent - KILL_DETECTION_S, request.ended):
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -118,17 +118,17 @@
     def list_document(self, after_version: int | None) -> dict[str, object]:
         """Returns the changes after a version, or the whole list without terminated servers for None."""
         if after_version is None or after_version > self.version:
-            names = [n for n, lifecycle in self.lifecycles.items() if lifecycle != "terminated"]
+            names = [name for name, lifecycle in self.lifecycles.items() if lifecycle != "terminated"]
             return {
                 "generation": self.version,
                 "reset": True,
-                "instances": [self.server_entry(n) for n in names],
+                "instances": [self.server_entry(name) for name in names],
             }
-        names = [n for n, version in self.changed_in_version.items() if version > after_version]
+        names = [name for name, version in self.changed_in_version.items() if version > after_version]
         return {
             "generation": self.version,
             "reset": False,
-            "instances": [self.server_entry(n) for n in names],
+            "instances": [self.server_entry(name) for name in names],
         }
 
     def list_line(self, after_version: int | None) -> bytes:
--- a/soak/run.py
+++ b/soak/run.py
@@ -45,13 +45,13 @@
         self.deployment, self.random, self.records = deployment, Random(seed), Records()
         self.folder = tempfile.TemporaryDirectory(prefix="soak-")
         host = f"{loopback_prefix()}.1"
-        names = [f"s-{n:03d}" for n in range(deployment.servers)]
+        names = [f"s-{number:03d}" for number in range(deployment.servers)]
         self.servers = {
             name: Server(name, host, FIRST_BUILD, self.records, Random(f"{seed}:{name}")) for name in names
         }
         self.discovery = Discovery(host, self.servers, self.records, call_duration_s)
         self.platform = Platform(host, FIRST_BUILD, self.records)
-        self.fronts = [self.make_front(n) for n in range(deployment.fronts)]
+        self.fronts = [self.make_front(number) for number in range(deployment.fronts)]
         self.rate_per_s, self.clients = rate_per_s, None
         if shim:
             self.attach_shims(seed)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,3 +1,5 @@
+"""Translation between the simulator's messages and the types of the decision module's interface."""
+
 import io
 
 import pytest
--- a/tests/test_soak_discovery.py
+++ b/tests/test_soak_discovery.py
@@ -1,4 +1,5 @@
-"""Real front processes while discovery is unavailable: the failures of incident 3231."""
+"""Real front processes while discovery is unavailable: no attempts by outdated lists, and no overload of
+discovery by their calls, as in incident 3231."""
 
 from collections import Counter
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -115,7 +115,7 @@
     balancer = running_front.dispatcher.balancer
     assert balancer.settings.routes[0].timeout_ms == 700.0 and balancer.settings.routes[0].max_attempts == 1
     assert balancer.max_trial_share == 0.05
-    assert {m.entry.status for m in balancer.servers.values()} == {interface.ServerStatus.DRAINING}
+    assert {server.entry.status for server in balancer.servers.values()} == {interface.ServerStatus.DRAINING}
     client = socket.create_connection(running_front.client_listener.sock.getsockname())
     answers = []
     for n in range(4):
@@ -134,7 +134,9 @@
         and orjson.loads(running_front.log.lines[-1])["level"] == "warning"
     )
     assert balancer.settings.routes[0].timeout_ms == 2000.0 and balancer.max_trial_share == 1.0
-    assert {m.entry.status for m in balancer.servers.values()} == {interface.ServerStatus.IN_SERVICE}
+    assert {server.entry.status for server in balancer.servers.values()} == {
+        interface.ServerStatus.IN_SERVICE
+    }
     assert running_front.counters.counts["faults"] == 0
 
 
@@ -256,7 +258,7 @@
             for frame in decoder.feed(data):
                 if frame.kind == "offer":
                     offered.append(frame.fields["number"])
-                    fields = {n: frame.fields[n] for n in ("nonce", "epoch", "number")}
+                    fields = {key: frame.fields[key] for key in ("nonce", "epoch", "number")}
                     sock.sendall(
                         encode_frame(
                             "answer", **fields, acked=answer, code="" if answer else "range", text="no"
@@ -451,7 +453,10 @@
     wait_until(lambda: offered == [1, 3])
     address = deployment.kill()
     deployment.serve(address)
-    assert (deployment.service.state.number, [p.number for p in deployment.service.state.published]) == (
+    assert (
+        deployment.service.state.number,
+        [published.number for published in deployment.service.state.published],
+    ) == (
         3,
         [1, 3],
     )
