--- a/myrtleroad/drill/host.py
+++ b/myrtleroad/drill/host.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from myrtleroad import interface as i
+from myrtleroad import interface
 from myrtleroad.drill import codec
 from myrtleroad.membership.call_backoff import CallBackoff, FollowerSettings, ServiceKind
 from myrtleroad.policy.balancer import Balancer
@@ -39,15 +39,15 @@
             max_poll_interval_ms,
             service_kind,
         )
-        self.requests_list, self.list_backoff = (
+        self.list_on_request, self.list_backoff = (
             settings.list_on_request,
             CallBackoff(follower_settings, Random(seed).random),
         )
-        self.list_received_at: float | None = None  # the first list since the last failure
+        self.list_received_at: float | None = None  # when the first list since the last failed call came
         self.server_indices: dict[str, int] = {}  # by server id; grows with the fleet, never with requests
         self.server_ids: list[str] = []
-        self.open_requests: dict[int, RequestCoroutine] = {}  # an entry goes as its request ends
-        # Request and wait number for each timer; an entry goes as its timer fires.
+        self.open_requests: dict[int, RequestCoroutine] = {}  # entries are removed when their request ends
+        # Request and wait number for each timer; entries are removed when their timer fires.
         self.timers: dict[int, tuple[RequestCoroutine, int]] = {}
         self.next_cookie = LIST_CALL_COOKIE + 1
         self.messages: list[dict[str, Any]] = []  # to be sent with the reply to the current batch
@@ -83,7 +83,7 @@
                 if event["cookie"] == WAKE_COOKIE:
                     self.perform(balancer.wake(now))
                 elif event["cookie"] == LIST_CALL_COOKIE:
-                    self.perform([i.WatchServerList()])
+                    self.perform([interface.WatchServerList()])
                 elif timer := self.timers.pop(event["cookie"], None):
                     request, wait_number = timer
                     if request.wait_number == wait_number:
@@ -99,13 +99,13 @@
                     self.schedule_list_call(now)
                     return
                 kind = codec.LIST_KINDS[event["kind"]]
-                if kind != i.ListKind.REMEMBERED:
+                if kind != interface.ListKind.REMEMBERED:
                     self.list_received_at = now if self.list_received_at is None else self.list_received_at
                 entries = [
                     codec.decode_server_entry(entry, self.server_index(entry["machine"]))
                     for entry in lists[event.get("ref", 0)]
                 ]
-                self.perform(balancer.update_server_list(i.ServerListUpdate(kind, entries), now))
+                self.perform(balancer.update_server_list(interface.ServerListUpdate(kind, entries), now))
             case "SHIP_STATE":
                 self.perform(balancer.update_stage(codec.decode_stage_update(event), now))
             case "BAD_ANSWER":
@@ -122,8 +122,8 @@
     def start(self, now: float) -> None:
         """Performs the first actions of a new front."""
         self.perform(self.balancer.wake(now))
-        if self.requests_list:
-            self.perform([i.WatchServerList()])
+        if self.list_on_request:
+            self.perform([interface.WatchServerList()])
 
     def schedule_list_call(self, now: float) -> None:
         """Schedules the next call for the server list after the previous one has failed or ended."""
@@ -131,7 +131,10 @@
         self.list_received_at = None
         self.add_message(
             codec.encode_action(
-                i.WakeAt(now + self.list_backoff.next_pause_ms(lasted_ms)), None, None, LIST_CALL_COOKIE
+                interface.WakeAt(now + self.list_backoff.next_pause_ms(lasted_ms)),
+                None,
+                None,
+                LIST_CALL_COOKIE,
             )
         )
 
@@ -140,12 +143,12 @@
         request.close()
         del self.open_requests[request.request_id]
 
-    def perform(self, actions: Iterable[i.Action]) -> None:
+    def perform(self, actions: Iterable[interface.Action]) -> None:
         """Adds the messages of actions that belong to no request."""
         for action in actions:
             server_id = (
                 self.server_ids[action.server]
-                if isinstance(action, i.ProbeServer | i.CloseIdleConnections)
+                if isinstance(action, interface.ProbeServer | interface.CloseIdleConnections)
                 else None
             )
             self.add_message(codec.encode_action(action, server_id, None, WAKE_COOKIE))
@@ -155,18 +158,20 @@
         message["front_id"] = self.front_id
         self.messages.append(message)
 
-    def resume_request(self, request: RequestCoroutine, result: i.AttemptEnded | None, now: float) -> None:
+    def resume_request(
+        self, request: RequestCoroutine, result: interface.AttemptEnded | None, now: float
+    ) -> None:
         """Resumes a request and sets the timer of its next wait. ``result`` is None after a timeout and at
         the start."""
         for action in request.resume(result, now):
-            server_id = self.server_ids[action.server] if isinstance(action, i.SendAttempt) else None
+            server_id = self.server_ids[action.server] if isinstance(action, interface.SendAttempt) else None
             self.add_message(codec.encode_action(action, server_id, request.request_id))
         if request.finished:
             del self.open_requests[request.request_id]
         elif request.max_wait_ms is not None:
             self.timers[self.next_cookie] = (request, request.wait_number)
             self.add_message(
-                codec.encode_action(i.WakeAt(now + request.max_wait_ms), None, None, self.next_cookie)
+                codec.encode_action(interface.WakeAt(now + request.max_wait_ms), None, None, self.next_cookie)
             )
             self.next_cookie += 1
 
@@ -178,8 +183,9 @@
         self.fronts: dict[int, SimulatedFront] = {}
         self.lists: dict[int, list[dict[str, Any]]] = {}
 
-    def process_event(self, event: dict[str, Any], now: float, touched: dict[int, list]) -> bool:
-        """Processes one event and notes in ``touched`` the messages of the front that it concerned.
+    def process_event(self, event: dict[str, Any], now: float, messages_by_front: dict[int, list]) -> bool:
+        """Processes one event and stores the messages of the front that it concerned in
+        ``messages_by_front``.
 
         Returns False after the decision module has raised an exception; the front's messages are then
         replaced by the one that reports it."""
@@ -189,7 +195,7 @@
             return True
         if cmd == "CRASH_NOW":
             self.fronts.pop(front_id, None)
-            touched.pop(front_id, None)
+            messages_by_front.pop(front_id, None)
             return True
         try:
             if cmd == "BORN":
@@ -204,21 +210,21 @@
         except codec.ProtocolError:
             raise
         except Exception as error:
-            touched[front_id] = [codec.failure_message(front_id, cmd, error)]
+            messages_by_front[front_id] = [codec.failure_message(front_id, cmd, error)]
             return False
-        touched[front_id] = front.messages
+        messages_by_front[front_id] = front.messages
         return True
 
     def process_batch(self, now: float, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
         """Processes the events of a batch in order and returns the messages of the reply, front by front in
-        the order in which the events first concerned them. ``now`` is in ms. The rest of the batch is left
-        out once an event has failed."""
-        touched: dict[int, list] = {}
+        the order in which the events first concerned them. ``now`` is in ms. The rest of the batch is
+        skipped once an event has failed."""
+        messages_by_front: dict[int, list] = {}
         for event in events:
-            if not self.process_event(event, now, touched):
+            if not self.process_event(event, now, messages_by_front):
                 break
-        reply = [message for messages in touched.values() for message in messages]
-        for front_id in touched:
+        reply = [message for messages in messages_by_front.values() for message in messages]
+        for front_id in messages_by_front:
             if front_id in self.fronts:
                 self.fronts[front_id].messages = []
         return reply
