--- a/tests/test_soak_discovery.py
+++ b/tests/test_soak_discovery.py
@@ -1,4 +1,5 @@
-"""Real front processes while discovery is unavailable: the failures of incident 3231."""
+"""Real front processes while discovery is unavailable: no attempts by outdated lists, and no overload of
+discovery by their calls, as in incident 3231."""
 
 from collections import Counter
 
@@ -9,12 +10,12 @@
 from soak.records import Outcome
 from soak.run import SoakRun
 
-LONGEST_S = 60.0  # for one test, with the start of its fronts
+TIME_LIMIT_S = 60.0  # for one test, with the start of its fronts
 
 
 @pytest.fixture(autouse=True)
 def time_limit():
-    with gevent.Timeout(LONGEST_S):
+    with gevent.Timeout(TIME_LIMIT_S):
         yield
 
 
